--- a/packages/burdockfront-node/src/burdockfront_node/availability.py
+++ b/packages/burdockfront-node/src/burdockfront_node/availability.py
@@ -10,7 +10,7 @@
 import time
 
 from burdockfront import outcomes
-from burdockfront import stalls as stalls_lib
+from burdockfront import stall_detection as stalls_lib
 from burdockfront_node import backend as backend_lib
 
 
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -6,7 +6,7 @@
 from burdockfront import levels
 from burdockfront import limits
 from burdockfront import routing
-from burdockfront import stalls
+from burdockfront import stall_detection
 from tests import builders
 
 
@@ -205,7 +205,10 @@
 def test_frozen_backend_is_told_from_a_slow_one():
     # A slow one ends requests now and then; a frozen one ends none. Only the
     # frozen one's guard may send callers elsewhere for it.
-    slow, frozen = stalls.StallDetector(), stalls.StallDetector()
+    slow, frozen = (
+        stall_detection.StallDetector(),
+        stall_detection.StallDetector(),
+    )
     for detector in (slow, frozen):
         for _ in range(4):
             detector.handed(0.0)
@@ -217,7 +220,7 @@
 
 
 def test_stalled_backend_is_tried_again_after_it_announced_itself():
-    detector = stalls.StallDetector()
+    detector = stall_detection.StallDetector()
     detector.handed(0.0)
     assert detector.check(1.0)
     detector.gave_up()
