--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -60,7 +60,7 @@
         self.observer: Callable[[calls.Call, outcomes.Answer], None] | None
         self.observer = None
         self.router = routing.Router(data_center, rng)
-        self.book = levels.LevelBook()
+        self.book = levels.LevelTracker()
         self.counters = calls.Counters()
         self.sender = sender_lib.Sender(
             node_id,
--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -43,7 +43,7 @@
     def __init__(
         self,
         router: routing.Router,
-        book: levels.LevelBook,
+        book: levels.LevelTracker,
         recorder: timeline.Recorder,
         counters: calls.Counters,
     ):
--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -56,7 +56,7 @@
         node_id: str,
         keys: keyring_lib.KeyRing,
         router: routing.Router,
-        book: levels.LevelBook,
+        book: levels.LevelTracker,
         recorder: timeline.Recorder,
         counters: calls.Counters,
         source_ip: str | None,
--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -40,7 +40,7 @@
         services: Returns how many services there are.
     """
 
-    def __init__(self, book: levels.LevelBook, services: Callable[[], int]):
+    def __init__(self, book: levels.LevelTracker, services: Callable[[], int]):
         self._book = book
         self._services = services
         self._origins = starvation.OriginBook()
--- a/packages/burdockfront/src/burdockfront/levels.py
+++ b/packages/burdockfront/src/burdockfront/levels.py
@@ -20,7 +20,7 @@
 load), and raising in steps that double (all guards swung together between a
 fifth and the whole of their capacity, with a period of 2.5 s).
 
-`LevelBook` is the asking side: what each service's guards said last. What it
+`LevelTracker` is the asking side: what each service's guards said last. What it
 says fades with age, so that a level never outlives its cause even if no
 answer corrects it. It keeps one smoothed level per service and class: a
 router hears from one guard too seldom to judge each by its own word. What is
@@ -183,7 +183,7 @@
     at_s: float
 
 
-class LevelBook:
+class LevelTracker:
     """Levels that guards of other services told us, by service and class."""
 
     def __init__(self) -> None:
--- a/tests/unit/test_route_filter.py
+++ b/tests/unit/test_route_filter.py
@@ -60,7 +60,7 @@
         "n1",
         builders.a_key_ring(),
         routing.Router("dc1", random.Random(1)),
-        levels.LevelBook(),
+        levels.LevelTracker(),
         recorder,
         calls.Counters(),
         None,
--- a/tests/unit/test_starvation.py
+++ b/tests/unit/test_starvation.py
@@ -59,7 +59,7 @@
     # fees is pressed and says so on answers. Rosters at timetable fail with
     # their refused calls, and so do requests that called rosters, one layer
     # up: each node puts its own class on the path of the one below.
-    book = levels.LevelBook()
+    book = levels.LevelTracker()
     lineage = lineage_lib.Lineage(book, lambda: 4)
     refusal = outcomes.not_run(outcomes.Reason.OVERLOAD, 1.0)
     for _ in range(20):
