--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -43,7 +43,7 @@
     def __init__(self, book: levels.LevelTracker, services: Callable[[], int]):
         self._book = book
         self._services = services
-        self._origins = starvation.OriginBook()
+        self._origins = starvation.CallOriginTracker()
         self._starvation = starvation.StarvationBook()
         self._detours = detours.DetourBook(time.monotonic())
         self._new_work: set[str] = set()
--- a/packages/burdockfront/src/burdockfront/starvation.py
+++ b/packages/burdockfront/src/burdockfront/starvation.py
@@ -8,7 +8,7 @@
 
 Two things are learned from what a node sees anyway:
 
-* `OriginBook`, at a guard: whether requests of a class are new work or calls of
+* `CallOriginTracker`, at a guard: whether requests of a class are new work or calls of
   other backend servers. Callers are everywhere, so their requests enter beside
   every service; a backend server's calls enter beside its own service only.
 * `StarvationBook`, at a node: which classes fail while calls that its backend
@@ -41,7 +41,7 @@
     class_name: str
 
 
-class OriginBook:
+class CallOriginTracker:
     """Beside which services requests of a class enter."""
 
     def __init__(self) -> None:
--- a/tests/unit/test_starvation.py
+++ b/tests/unit/test_starvation.py
@@ -13,7 +13,7 @@
 
 
 def test_requests_that_enter_beside_every_service_are_new_work():
-    book = starvation.OriginBook()
+    book = starvation.CallOriginTracker()
     for number in range(40):
         origin = ["catalogue", "enrolment", "timetable", "fees"][number % 4]
         book.heard("browse", origin)
@@ -24,7 +24,7 @@
 
 def test_class_that_was_hardly_heard_of_is_taken_for_paid_work():
     # Refused by level while it is a call, it would fail a whole request.
-    book = starvation.OriginBook()
+    book = starvation.CallOriginTracker()
     book.heard("browse", "catalogue")
     book.heard("browse", "fees")
     assert not book.is_new_work("browse", 2)
