--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -44,7 +44,7 @@
         self._book = book
         self._services = services
         self._origins = starvation.CallOriginTracker()
-        self._starvation = starvation.StarvationBook()
+        self._starvation = starvation.StarvationTracker()
         self._detours = detours.DetourBook(time.monotonic())
         self._new_work: set[str] = set()
         self._running = running.RunningRequests()
--- a/packages/burdockfront/src/burdockfront/starvation.py
+++ b/packages/burdockfront/src/burdockfront/starvation.py
@@ -11,7 +11,7 @@
 * `CallOriginTracker`, at a guard: whether requests of a class are new work or calls of
   other backend servers. Callers are everywhere, so their requests enter beside
   every service; a backend server's calls enter beside its own service only.
-* `StarvationBook`, at a node: which classes fail while calls that its backend
+* `StarvationTracker`, at a node: which classes fail while calls that its backend
   server makes are refused for want of room. A class that fails so more often
   than by chance depends on what the calls asked for, and new requests of it are
   then subject to the level of that service.
@@ -70,7 +70,7 @@
         return len(counter) >= max(2.0, _NEW_WORK_SHARE * services)
 
 
-class StarvationBook:
+class StarvationTracker:
     """Which classes at this node's backend server depend on which calls."""
 
     def __init__(self) -> None:
--- a/tests/unit/test_starvation.py
+++ b/tests/unit/test_starvation.py
@@ -31,7 +31,7 @@
 
 
 def test_class_that_fails_with_its_calls_depends_on_them():
-    book = starvation.StarvationBook()
+    book = starvation.StarvationTracker()
     for at_s in range(20):
         book.refused(_RULES, at_s + 0.5)
         assert book.ended("roster", float(at_s), failed=True)
@@ -42,7 +42,7 @@
     # Timings run beside rosters at the same backend server. One in fifty
     # fails for reasons of its own, always while calls of rosters are refused.
     rng = random.Random(5)
-    book = starvation.StarvationBook()
+    book = starvation.StarvationTracker()
     for at_s in range(2000):
         book.refused(_RULES, at_s + 0.5)
         book.ended("timings", float(at_s), failed=rng.random() < 0.02)
@@ -50,7 +50,7 @@
 
 
 def test_failure_without_a_refused_call_is_not_starvation():
-    book = starvation.StarvationBook()
+    book = starvation.StarvationTracker()
     book.refused(_RULES, 1.0)
     assert not book.ended("roster", 2.0, failed=True)
 
