--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -47,7 +47,7 @@
         recorder: timeline.Recorder,
         counters: calls.Counters,
     ):
-        self.reports = self_reports.HeardReports()
+        self.reports = self_reports.ReceivedReports()
         self.far_bytes: collections.Counter[str] = collections.Counter()
         self._router = router
         self._book = book
--- a/packages/burdockfront/src/burdockfront/self_reports.py
+++ b/packages/burdockfront/src/burdockfront/self_reports.py
@@ -67,7 +67,7 @@
         ]
 
 
-class HeardReports:
+class ReceivedReports:
     """What guards told of their backend servers, kept by those who asked.
 
     A guard that begins anew knows nothing of its server, while every VM that
