--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/servers.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/servers.py
@@ -103,10 +103,10 @@
             self._terms.named(announced.address, limit_per_s, time.monotonic())
         return answer
 
-    def _say(self) -> self_reports.Said:
+    def _say(self) -> self_reports.BackendNotice:
         """Returns what it says of itself on an answer now."""
         limits = [trouble.x for trouble in self._struck("limit")]
-        return self_reports.Said(
+        return self_reports.BackendNotice(
             bool(self._struck("leave")), min(limits, default=None)
         )
 
--- a/packages/burdockfront-node/src/burdockfront_node/backend.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend.py
@@ -61,7 +61,7 @@
     load: float
     embedded: bool
     start: incarnations.Start = incarnations.NAMELESS
-    said: self_reports.Said | None = None
+    said: self_reports.BackendNotice | None = None
 
     @property
     def draining(self) -> bool:
@@ -84,7 +84,7 @@
         ) from None
     said = None
     if "limit_per_s" in model.model_fields_set:
-        said = self_reports.Said(limit_per_s=model.limit_per_s)
+        said = self_reports.BackendNotice(limit_per_s=model.limit_per_s)
     return Announcement(
         service=model.service,
         address=model.address,
--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -60,7 +60,7 @@
 
     def answered(
         self,
-        said: self_reports.Said,
+        said: self_reports.BackendNotice,
         start: incarnations.Start,
         handed_s: float,
     ) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/handover.py
@@ -144,7 +144,7 @@
     )
 
 
-def _said_by(reply: peers_lib.Reply) -> self_reports.Said | None:
+def _said_by(reply: peers_lib.Reply) -> self_reports.BackendNotice | None:
     """Returns what a backend server says of itself on an answer.
 
     None if it says nothing there; its announcements may.
--- a/packages/burdockfront-node/src/burdockfront_node/surroundings.py
+++ b/packages/burdockfront-node/src/burdockfront_node/surroundings.py
@@ -77,7 +77,7 @@
 
     instance_id: str
     slots: int
-    said: self_reports.Said
+    said: self_reports.BackendNotice
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -127,7 +127,9 @@
     def word_of(self, answer: connection.RawAnswer) -> BackendWord:
         """Returns what an answer means."""
 
-    def said_by(self, answer: connection.RawAnswer) -> self_reports.Said:
+    def said_by(
+        self, answer: connection.RawAnswer
+    ) -> self_reports.BackendNotice:
         """Returns what a backend server says of itself on an answer."""
 
     def health_of(self, answer: connection.RawAnswer) -> Health | None:
--- a/packages/burdockfront/src/burdockfront/outcomes.py
+++ b/packages/burdockfront/src/burdockfront/outcomes.py
@@ -104,7 +104,7 @@
     starved: bool = False
     inner: bool = False
     far_kb: float = 0.0
-    said: self_reports.Said | None = None
+    said: self_reports.BackendNotice | None = None
     report: self_reports.SelfReport | None = None
 
 
--- a/packages/burdockfront/src/burdockfront/self_reports.py
+++ b/packages/burdockfront/src/burdockfront/self_reports.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Said:
+class BackendNotice:
     """What one answer says.
 
     Attributes:
@@ -34,7 +34,7 @@
 
 
 # Nearly all answers say nothing of the kind.
-NOTHING = Said()
+NOTHING = BackendNotice()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -110,7 +110,7 @@
             self.by_node.popitem(last=False)
 
 
-def limit_from(values: list[str]) -> Said:
+def limit_from(values: list[str]) -> BackendNotice:
     """Reads a limit that an answer names.
 
     Args:
@@ -123,9 +123,9 @@
         except ValueError:
             limit_per_s = math.nan
         if not 0.0 <= limit_per_s < math.inf:
-            return Said(unreadable=value)
+            return BackendNotice(unreadable=value)
         limits.append(limit_per_s)
-    return Said(limit_per_s=min(limits)) if limits else NOTHING
+    return BackendNotice(limit_per_s=min(limits)) if limits else NOTHING
 
 
 def from_parts(parts: object) -> SelfReport:
--- a/tests/unit/test_backend_beliefs.py
+++ b/tests/unit/test_backend_beliefs.py
@@ -24,7 +24,7 @@
 def test_each_change_of_a_limit_is_one_line():
     beliefs, recorder = _beliefs()
     for limit_per_s in (6.5, 6.5, 9.0, None, None):
-        said = self_reports.Said(limit_per_s=limit_per_s)
+        said = self_reports.BackendNotice(limit_per_s=limit_per_s)
         beliefs.answered(said, _START, time.monotonic())
     found = recorder.select(timeline.Filter(kind="backend.limit"), 100)
     told = [(e.detail["before"], e.detail["limit_per_s"]) for e in found]
@@ -33,19 +33,21 @@
 
 def test_unreadable_limit_changes_nothing_and_is_told_once():
     beliefs, recorder = _beliefs()
-    beliefs.answered(self_reports.Said(limit_per_s=6.5), _START, 0.0)
+    beliefs.answered(self_reports.BackendNotice(limit_per_s=6.5), _START, 0.0)
     for _ in range(3):
-        beliefs.answered(self_reports.Said(unreadable="many"), _START, 0.0)
+        beliefs.answered(
+            self_reports.BackendNotice(unreadable="many"), _START, 0.0
+        )
     assert beliefs.report.limit_per_s == 6.5
     assert _kinds(recorder) == ["backend.limit", "backend.limit-unreadable"]
-    both = self_reports.Said(leaving=True, unreadable="many")
+    both = self_reports.BackendNotice(leaving=True, unreadable="many")
     beliefs.answered(both, _START, 0.0)
     assert beliefs.report.leaving
 
 
 def test_next_start_of_a_backend_server_has_said_nothing_yet():
     beliefs, _ = _beliefs()
-    said = self_reports.Said(leaving=True, limit_per_s=6.5)
+    said = self_reports.BackendNotice(leaving=True, limit_per_s=6.5)
     beliefs.answered(said, _START, 0.0)
     beliefs.in_service(incarnations.Start("i-2"))
     assert beliefs.report.is_plain
@@ -56,7 +58,7 @@
 def test_later_start_under_the_same_id_has_said_nothing_yet():
     # The node heard of the first one without its birth, by a health check.
     beliefs, _ = _beliefs()
-    said = self_reports.Said(leaving=True, limit_per_s=6.5)
+    said = self_reports.BackendNotice(leaving=True, limit_per_s=6.5)
     beliefs.answered(said, _START, 0.0)
     beliefs.in_service(incarnations.Start("i-1", 17))
     beliefs.answered(said, _START, 0.0)
