--- a/packages/burdockfront-node/src/burdockfront_node/availability.py
+++ b/packages/burdockfront-node/src/burdockfront_node/availability.py
@@ -10,7 +10,7 @@
 import time
 
 from burdockfront import outcomes
-from burdockfront import stall_detection as stalls_lib
+from burdockfront import stall_detection
 from burdockfront_node import backend as backend_lib
 
 
@@ -22,7 +22,7 @@
         drain_grace_s: After the announcement of a drain, calls of routers
             that have not heard of it yet are still served this long; the
             promise is "after a few seconds".
-        stall_floor_s: See `stalls.StallDetector`.
+        stall_floor_s: See `stall_detection.StallDetector`.
         moves_tickets: Whether a ticket of a leaving backend server may move
             to another owner. Where entries keep their tickets to themselves,
             a plain refusal lets them go elsewhere with a new one.
@@ -53,7 +53,7 @@
 
     def __init__(self, ready: asyncio.Event, rules: GuardRules):
         self.announcement: backend_lib.Announcement | None = None
-        self.stalls = stalls_lib.StallDetector(rules.stall_floor_s)
+        self.stalls = stall_detection.StallDetector(rules.stall_floor_s)
         self._ready = ready
         self._rules = rules
         # Loop times from which new work is refused. That the server leaves says
--- a/packages/burdockfront/src/burdockfront/__init__.py
+++ b/packages/burdockfront/src/burdockfront/__init__.py
@@ -10,7 +10,7 @@
 
 * requests: `context`, `allowance`, `tickets`, `ledger`, `outcomes`
 * overload: `admission`, `levels`, `limits`, `routing`,
-  `retries`, `stalls`
+  `retries`, `stall_detection`
 * state between nodes: `tables`, `membership`, `configuration`, `leases`,
   `platform_budget`
 * shared: `policy`, `keyring`, `timeline`, `registry`, `errors`
