--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -267,7 +267,7 @@
         self, server: str, answer: outcomes.Answer
     ) -> outcomes.Answer:
         said = answer.said
-        if said is not None and said != self_reports.NOTHING:
+        if said is not None and said != self_reports.NO_NOTICE:
             self._terms.passed_on(
                 self.place.node_id,
                 server,
--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -130,7 +130,7 @@
         if said is None:
             return answer
         # Nearly always there is nothing to learn.
-        if said is not self_reports.NOTHING or not self._beliefs.is_plain:
+        if said is not self_reports.NO_NOTICE or not self._beliefs.is_plain:
             self._beliefs.answered(said, announced.start, started_s)
         return answer
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -93,7 +93,7 @@
                 sequence=_BEFORE_ANY_HEARTBEAT,
             )
         )
-        if health.said is not self_reports.NOTHING:
+        if health.said is not self_reports.NO_NOTICE:
             # That it says nothing here does not show that it names no limit.
             start = incarnations_lib.Start(health.instance_id)
             self._beliefs.answered(health.said, start, asked_s)
--- a/packages/burdockfront/src/burdockfront/self_reports.py
+++ b/packages/burdockfront/src/burdockfront/self_reports.py
@@ -34,7 +34,7 @@
 
 
 # Nearly all answers say nothing of the kind.
-NOTHING = BackendNotice()
+NO_NOTICE = BackendNotice()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
         if not 0.0 <= limit_per_s < math.inf:
             return BackendNotice(unreadable=value)
         limits.append(limit_per_s)
-    return BackendNotice(limit_per_s=min(limits)) if limits else NOTHING
+    return BackendNotice(limit_per_s=min(limits)) if limits else NO_NOTICE
 
 
 def from_parts(parts: object) -> SelfReport:
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -81,7 +81,7 @@
 def test_what_the_backend_server_answers_goes_before_what_others_remember():
     beliefs = _new_process()
     beliefs.in_service(_FIRST)
-    beliefs.answered(self_reports.NOTHING, _FIRST, 0.0)
+    beliefs.answered(self_reports.NO_NOTICE, _FIRST, 0.0)
     beliefs.told(_LIMITED)
     assert beliefs.rate.per_s is None
     assert beliefs.report_to(_LIMITED) == self_reports.SelfReport(_FIRST)
@@ -92,7 +92,7 @@
     beliefs.in_service(_FIRST)
     handed_s = time.monotonic() - 1.0
     beliefs.told(_LIMITED)
-    beliefs.answered(self_reports.NOTHING, _FIRST, handed_s)
+    beliefs.answered(self_reports.NO_NOTICE, _FIRST, handed_s)
     assert beliefs.rate.per_s is None
 
 
