--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -266,13 +266,13 @@
     def _passed_on(
         self, server: str, answer: outcomes.Answer
     ) -> outcomes.Answer:
-        said = answer.said
-        if said is not None and said != self_reports.NO_NOTICE:
+        notice = answer.notice
+        if notice is not None and notice != self_reports.NO_NOTICE:
             self._terms.passed_on(
                 self.place.node_id,
                 server,
-                said.limit_per_s is not None,
-                said.leaving,
+                notice.limit_per_s is not None,
+                notice.leaving,
                 time.monotonic(),
             )
         return answer
--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/servers.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/servers.py
@@ -95,8 +95,8 @@
             else:
                 self.wasted_s += spent_s
         answer = outcomes.Answer(outcomes.Outcome.DONE, status)
-        answer.said = self._say()
-        limit_per_s = answer.said.limit_per_s
+        answer.notice = self._say()
+        limit_per_s = answer.notice.limit_per_s
         if limit_per_s is None:
             self._terms.named_none(announced.address)
         else:
--- a/packages/burdockfront-node/src/burdockfront_node/backend.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend.py
@@ -51,7 +51,7 @@
         load: Its own report, shown to operators only.
         embedded: It routes its deeper calls itself, with the library.
         start: Which start of it this is, as far as it tells.
-        said: Whether it names a limit; None if it says nothing about that.
+        notice: Whether it names a limit; None if it says nothing about that.
     """
 
     service: str
@@ -61,7 +61,7 @@
     load: float
     embedded: bool
     start: incarnations.Start = incarnations.NAMELESS
-    said: self_reports.BackendNotice | None = None
+    notice: self_reports.BackendNotice | None = None
 
     @property
     def draining(self) -> bool:
@@ -82,9 +82,9 @@
         raise errors.InvalidInputError(
             f"{text} See docs/BACKENDS.md."
         ) from None
-    said = None
+    notice = None
     if "limit_per_s" in model.model_fields_set:
-        said = self_reports.BackendNotice(limit_per_s=model.limit_per_s)
+        notice = self_reports.BackendNotice(limit_per_s=model.limit_per_s)
     return Announcement(
         service=model.service,
         address=model.address,
@@ -93,5 +93,5 @@
         load=model.load,
         embedded=model.embedded,
         start=incarnations.Start(model.instance),
-        said=said,
+        notice=notice,
     )
--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -60,27 +60,27 @@
 
     def answered(
         self,
-        said: self_reports.BackendNotice,
+        notice: self_reports.BackendNotice,
         start: incarnations.Start,
         handed_s: float,
     ) -> None:
         """Learns from an answer that came just now.
 
         Args:
-            said: What it says.
+            notice: What it says.
             start: Which start gave it.
             handed_s: When its request was handed over.
         """
         if not start.may_be(self.report.start):
             return
         self._answered = True
-        if said.unreadable:
-            self._note_unreadable(said.unreadable)
+        if notice.unreadable:
+            self._note_unreadable(notice.unreadable)
         else:
-            self.rate.answered(said.limit_per_s, handed_s, time.monotonic())
+            self.rate.answered(notice.limit_per_s, handed_s, time.monotonic())
         believed = dataclasses.replace(
             self.report,
-            leaving=said.leaving or self.report.leaving,
+            leaving=notice.leaving or self.report.leaving,
             limit_per_s=self.rate.per_s,
         )
         self._believe(believed, "answer")
--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -126,12 +126,12 @@
         answer = await self._handover.run(
             announced, attempt, nonce, limit_bytes
         )
-        said = answer.said
-        if said is None:
+        notice = answer.notice
+        if notice is None:
             return answer
         # Nearly always there is nothing to learn.
-        if said is not self_reports.NO_NOTICE or not self._beliefs.is_plain:
-            self._beliefs.answered(said, announced.start, started_s)
+        if notice is not self_reports.NO_NOTICE or not self._beliefs.is_plain:
+            self._beliefs.answered(notice, announced.start, started_s)
         return answer
 
     def _note_end(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -93,10 +93,10 @@
                 sequence=_BEFORE_ANY_HEARTBEAT,
             )
         )
-        if health.said is not self_reports.NO_NOTICE:
+        if health.notice is not self_reports.NO_NOTICE:
             # That it says nothing here does not show that it names no limit.
             start = incarnations_lib.Start(health.instance_id)
-            self._beliefs.answered(health.said, start, asked_s)
+            self._beliefs.answered(health.notice, start, asked_s)
 
     async def _ask(self, path: str) -> surroundings.Health | None:
         request = connection_lib.encode_request(
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -171,9 +171,9 @@
         """Takes an announcement of the backend server."""
         before = self.announcement
         self.beliefs.in_service(announcement.start)
-        if announcement.said is not None:
+        if announcement.notice is not None:
             self.beliefs.answered(
-                announcement.said, announcement.start, time.monotonic()
+                announcement.notice, announcement.start, time.monotonic()
             )
         self._availability.announce(announcement)
         if self._gate is None:
--- a/packages/burdockfront-node/src/burdockfront_node/handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/handover.py
@@ -125,12 +125,12 @@
         return outcomes.unknown(outcomes.Reason.LOST_ANSWER)
     if announced.embedded:
         unspent = int(reply.header(wire.UNSPENT) or 0)
-    said = _said_by(reply)
+    notice = _said_by(reply)
     if reply.header(wire.OUTCOME) == outcomes.Outcome.NOT_RUN:
         refusal = outcomes.not_run(
             outcomes.Reason.REJECTED, admission.RETRY_AFTER_S, unspent
         )
-        refusal.said = said
+        refusal.notice = notice
         return refusal
     path_level = reply.header(wire.PATH_LEVEL)
     return outcomes.Answer(
@@ -140,7 +140,7 @@
         body=reply.body,
         unspent=unspent,
         level=int(path_level) if path_level else None,
-        said=said,
+        notice=notice,
     )
 
 
@@ -153,5 +153,5 @@
     leaving = reply.header(wire.LEAVING) == _IS_LEAVING
     if limit is None and not leaving:
         return None
-    said = self_reports.limit_from([] if limit is None else [limit])
-    return dataclasses.replace(said, leaving=leaving)
+    notice = self_reports.limit_from([] if limit is None else [limit])
+    return dataclasses.replace(notice, leaving=leaving)
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -150,7 +150,7 @@
                 refusal = outcomes.not_run(
                     outcomes.Reason.REJECTED, admission.RETRY_AFTER_S
                 )
-                refusal.said = self._dialect.said_by(answer)
+                refusal.notice = self._dialect.said_by(answer)
                 return refusal
             case surroundings.BackendWord.OTHER_INCARNATION:
                 # The address has a new owner, which ran nothing. Until its
@@ -164,5 +164,5 @@
             answer.status,
             headers=self._sent_on(answer.headers),
             body=answer.body,
-            said=self._dialect.said_by(answer),
+            notice=self._dialect.said_by(answer),
         )
--- a/packages/burdockfront-node/src/burdockfront_node/surroundings.py
+++ b/packages/burdockfront-node/src/burdockfront_node/surroundings.py
@@ -72,12 +72,12 @@
     Attributes:
         instance_id: The incarnation that answered.
         slots: Requests that it works on at once.
-        said: What else it says of itself.
+        notice: What else it says of itself.
     """
 
     instance_id: str
     slots: int
-    said: self_reports.BackendNotice
+    notice: self_reports.BackendNotice
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/packages/burdockfront/src/burdockfront/outcomes.py
+++ b/packages/burdockfront/src/burdockfront/outcomes.py
@@ -83,7 +83,7 @@
         inner: The guard takes it for a call of a backend server.
         far_kb: Kilobytes between data centres that requests of this class
             cost below the guard that answered, on average.
-        said: What the backend server says of itself on it; None if it is not
+        notice: What the backend server says of itself on it; None if it is not
             its answer.
         report: What the guard believes that its backend server says of itself;
             None if that is nothing out of the ordinary.
@@ -104,7 +104,7 @@
     starved: bool = False
     inner: bool = False
     far_kb: float = 0.0
-    said: self_reports.BackendNotice | None = None
+    notice: self_reports.BackendNotice | None = None
     report: self_reports.SelfReport | None = None
 
 
--- a/tests/unit/test_backend_beliefs.py
+++ b/tests/unit/test_backend_beliefs.py
@@ -24,8 +24,8 @@
 def test_each_change_of_a_limit_is_one_line():
     beliefs, recorder = _beliefs()
     for limit_per_s in (6.5, 6.5, 9.0, None, None):
-        said = self_reports.BackendNotice(limit_per_s=limit_per_s)
-        beliefs.answered(said, _START, time.monotonic())
+        notice = self_reports.BackendNotice(limit_per_s=limit_per_s)
+        beliefs.answered(notice, _START, time.monotonic())
     found = recorder.select(timeline.Filter(kind="backend.limit"), 100)
     told = [(e.detail["before"], e.detail["limit_per_s"]) for e in found]
     assert told == [(None, 6.5), (6.5, 9.0), (9.0, None)]
@@ -47,21 +47,21 @@
 
 def test_next_start_of_a_backend_server_has_said_nothing_yet():
     beliefs, _ = _beliefs()
-    said = self_reports.BackendNotice(leaving=True, limit_per_s=6.5)
-    beliefs.answered(said, _START, 0.0)
+    notice = self_reports.BackendNotice(leaving=True, limit_per_s=6.5)
+    beliefs.answered(notice, _START, 0.0)
     beliefs.in_service(incarnations.Start("i-2"))
     assert beliefs.report.is_plain
-    beliefs.answered(said, _START, 0.0)
+    beliefs.answered(notice, _START, 0.0)
     assert beliefs.report.is_plain, "a late answer of the start before"
 
 
 def test_later_start_under_the_same_id_has_said_nothing_yet():
     # The node heard of the first one without its birth, by a health check.
     beliefs, _ = _beliefs()
-    said = self_reports.BackendNotice(leaving=True, limit_per_s=6.5)
-    beliefs.answered(said, _START, 0.0)
+    notice = self_reports.BackendNotice(leaving=True, limit_per_s=6.5)
+    beliefs.answered(notice, _START, 0.0)
     beliefs.in_service(incarnations.Start("i-1", 17))
-    beliefs.answered(said, _START, 0.0)
+    beliefs.answered(notice, _START, 0.0)
     assert beliefs.report.leaving
     beliefs.in_service(incarnations.Start("i-1", 18))
     assert beliefs.report.is_plain
