--- a/packages/burdockfront-node/src/burdockfront_node/availability.py
+++ b/packages/burdockfront-node/src/burdockfront_node/availability.py
@@ -77,7 +77,7 @@
         """Takes an announcement of the backend server."""
         before = self.announcement
         self.announcement = announcement
-        self.stalls.announced(time.monotonic())
+        self.stalls.on_announcement(time.monotonic())
         if announcement.draining:
             self.server_leaves()
         elif before is None or _takes_back(announcement, before):
--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -107,7 +107,7 @@
             attempt=attempt.context.attempt_id,
             service=attempt.call.service,
         )
-        self._availability.stalls.handed(started_s)
+        self._availability.stalls.on_sent(started_s)
         announced = self._availability.announcement
         address = announced.address if announced else ""
         self._quarantine.watch.began(attempt, address, started_s)
@@ -142,9 +142,9 @@
     ) -> None:
         """Learns from how a hand-over ended, while its slot is still held."""
         if answer is None or answer.outcome is outcomes.Outcome.UNKNOWN:
-            self._availability.stalls.gave_up()
+            self._availability.stalls.on_abandoned()
             return
-        self._availability.stalls.answered(service_s, time.monotonic())
+        self._availability.stalls.on_answer(service_s, time.monotonic())
         refused = answer.reason is outcomes.Reason.REJECTED
         if refused and self._refusals_lower_slots:
             gate.shed_by_backend()
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -197,7 +197,7 @@
         """
         if not planned:
             self._quarantine.watch.replaced()
-        self._availability.stalls.began_anew(time.monotonic())
+        self._availability.stalls.on_restart(time.monotonic())
         if self._gate is not None:
             self._gate.begin_anew()
 
--- a/packages/burdockfront/src/burdockfront/stall_detection.py
+++ b/packages/burdockfront/src/burdockfront/stall_detection.py
@@ -37,30 +37,30 @@
         """Whether it answers nothing at the moment."""
         return self._stalled_since_s is not None
 
-    def handed(self, now_s: float) -> None:
+    def on_sent(self, now_s: float) -> None:
         """Notes a request that was handed over."""
         if self._in_hand == 0:
             self._quiet_since_s = now_s
         self._in_hand += 1
 
-    def answered(self, took_s: float, now_s: float) -> None:
+    def on_answer(self, took_s: float, now_s: float) -> None:
         """Notes an answer: it is alive."""
         self._in_hand -= 1
         self._quiet_since_s = now_s
         self._usual_s += _WEIGHT * (took_s - self._usual_s)
         self._stalled_since_s = None
 
-    def began_anew(self, now_s: float) -> None:
+    def on_restart(self, now_s: float) -> None:
         """Notes another start: the silence of the one before says nothing."""
         self._quiet_since_s = now_s
         self._usual_s = _FIRST_USUAL_S
         self._stalled_since_s = None
 
-    def gave_up(self) -> None:
+    def on_abandoned(self) -> None:
         """Notes a request whose answer nobody waits for any more."""
         self._in_hand -= 1
 
-    def announced(self, now_s: float) -> None:
+    def on_announcement(self, now_s: float) -> None:
         """Notes an announcement, which a frozen process can't make."""
         if self._in_hand == 0:
             self._stalled_since_s = None
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -211,21 +211,21 @@
     )
     for detector in (slow, frozen):
         for _ in range(4):
-            detector.handed(0.0)
-    slow.answered(0.4, 0.4)
+            detector.on_sent(0.0)
+    slow.on_answer(0.4, 0.4)
     assert not slow.check(0.8)
     assert frozen.check(0.8)
-    frozen.answered(5.0, 5.0)
+    frozen.on_answer(5.0, 5.0)
     assert not frozen.check(5.1)
 
 
 def test_stalled_backend_is_tried_again_after_it_announced_itself():
     detector = stall_detection.StallDetector()
-    detector.handed(0.0)
+    detector.on_sent(0.0)
     assert detector.check(1.0)
-    detector.gave_up()
+    detector.on_abandoned()
     assert detector.check(1.5)
-    detector.announced(2.0)
+    detector.on_announcement(2.0)
     assert not detector.check(2.1)
 
 
