--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -125,7 +125,7 @@
             # Only calls of our own backend server lie below its requests. A
             # request that merely enters here would pull the level of its
             # service into that of another one.
-            self.book.called(
+            self.book.record_call(
                 call.context.class_name, call.service, time.monotonic()
             )
         if not self.router.targets_of(call.service):
--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -89,7 +89,7 @@
         if answer.reason is outcomes.Reason.LIMITED:
             self._note_limited(target, answer, now_s)
         if answer.level is not None:
-            self._book.hear(
+            self._book.observe(
                 call.service,
                 call.context.class_name,
                 answer.level,
--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -97,7 +97,7 @@
         starved = self._starvation.ended(class_name, started_s, failed)
         now_s = time.monotonic()
         for child in self._starvation.causes(class_name):
-            self._book.called(
+            self._book.record_call(
                 class_name, child.service, now_s, child.class_name
             )
         return dataclasses.replace(answer, starved=True) if starved else answer
@@ -128,7 +128,9 @@
         class_name = call.context.class_name
         self._new_work.discard(class_name)
         self._detours.called_by(call.parent_class, answer.far_kb, now_s)
-        self._book.called(call.parent_class, call.service, now_s, class_name)
+        self._book.record_call(
+            call.parent_class, call.service, now_s, class_name
+        )
         if answer.reason in _NO_ROOM or answer.starved:
             child = starvation.Child(call.service, class_name)
             self._starvation.refused(child, now_s)
--- a/packages/burdockfront/src/burdockfront/levels.py
+++ b/packages/burdockfront/src/burdockfront/levels.py
@@ -191,7 +191,7 @@
         # Class above, service and class below, and when that was seen last.
         self._called: dict[tuple[str, str, str], float] = {}
 
-    def hear(
+    def observe(
         self, service: str, class_name: str, level: int, now_s: float
     ) -> None:
         """Takes the path level that came with an answer."""
@@ -214,7 +214,7 @@
         faded_s = max(0.0, now_s - heard.at_s - _FADE_AFTER_S)
         return min(OPEN, int(heard.level + faded_s * _FADE_PER_S))
 
-    def called(
+    def record_call(
         self,
         class_name: str,
         service: str,
@@ -240,7 +240,7 @@
                 level = min(level, self.level_of(service, called_class, now_s))
         return level
 
-    def forget(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Drops what is too old to matter."""
         self._heard = {
             key: heard
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -110,17 +110,17 @@
 
 def test_level_heard_fades_without_news():
     book = levels.LevelTracker()
-    book.hear("fees", "browse", 100, 0.0)
+    book.observe("fees", "browse", 100, 0.0)
     assert book.level_of("fees", "browse", 0.1) == 100
     assert book.level_of("fees", "browse", 9.0) == levels.OPEN
 
 
 def test_path_level_is_the_lowest_below():
     book = levels.LevelTracker()
-    book.called("browse", "fees", 0.0)
-    book.called("browse", "timetable", 0.0)
-    book.hear("fees", "browse", 300, 0.0)
-    book.hear("catalogue", "browse", 10, 0.0)
+    book.record_call("browse", "fees", 0.0)
+    book.record_call("browse", "timetable", 0.0)
+    book.observe("fees", "browse", 300, 0.0)
+    book.observe("catalogue", "browse", 10, 0.0)
     assert book.path_level("browse", 0.1) == 300
 
 
--- a/tests/unit/test_starvation.py
+++ b/tests/unit/test_starvation.py
@@ -69,7 +69,7 @@
         ended = lineage.run_ended(_an_attempt("roster"), started_s, failed)
         assert ended.starved
     now_s = calls.time.monotonic()
-    book.hear("fees", "fee-rule", 300, now_s)
+    book.observe("fees", "fee-rule", 300, now_s)
     assert book.path_level("roster", now_s) == 300
     assert book.path_level("timings", now_s) == levels.OPEN
 
