--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -83,7 +83,7 @@
                 answer.outcome is outcomes.Outcome.DONE
                 or answer.reason is outcomes.Reason.REJECTED
             )
-            self.reports.heard(target.node_id, answer.report, from_server)
+            self.reports.record(target.node_id, answer.report, from_server)
             if answer.report.limit_per_s is None:
                 self._router.unlimited(target.node_id)
         if answer.reason is outcomes.Reason.LIMITED:
--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -59,7 +59,7 @@
         if attempt.context.parent:
             # A node has seen for whom it is made: a call, beyond doubt.
             return attempt
-        self._origins.heard(class_name, attempt.call.origin_service)
+        self._origins.record(class_name, attempt.call.origin_service)
         new = self._origins.is_new_work(class_name, self._services())
         depth = 0 if new else 1
         if attempt.context.depth == depth:
--- a/packages/burdockfront/src/burdockfront/self_reports.py
+++ b/packages/burdockfront/src/burdockfront/self_reports.py
@@ -84,7 +84,7 @@
             collections.OrderedDict()
         )
 
-    def heard(
+    def record(
         self, node_id: str, report: SelfReport, from_server: bool
     ) -> None:
         """Takes what came with an answer.
--- a/packages/burdockfront/src/burdockfront/starvation.py
+++ b/packages/burdockfront/src/burdockfront/starvation.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self._heard: dict[str, collections.Counter[str]] = {}
 
-    def heard(self, class_name: str, origin_service: str) -> None:
+    def record(self, class_name: str, origin_service: str) -> None:
         """Counts a request."""
         counter = self._heard.get(class_name)
         if counter is None:
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -98,9 +98,9 @@
 
 def test_router_forgets_a_limit_when_the_guard_says_that_it_ended():
     heard = self_reports.ReceivedReports()
-    heard.heard("n1", _LIMITED, True)
-    heard.heard("n2", _LIMITED, True)
-    heard.heard("n1", self_reports.SelfReport(_FIRST), False)
+    heard.record("n1", _LIMITED, True)
+    heard.record("n2", _LIMITED, True)
+    heard.record("n1", self_reports.SelfReport(_FIRST), False)
     assert list(heard.by_node) == ["n2"]
 
 
@@ -108,17 +108,17 @@
     # A guard that begins anew may take a late heartbeat for the server; its
     # word alone must not bring requests to the one that leaves.
     heard = self_reports.ReceivedReports()
-    heard.heard("n1", _LEAVING, True)
-    heard.heard("n1", self_reports.SelfReport(_FIRST), True)
+    heard.record("n1", _LEAVING, True)
+    heard.record("n1", self_reports.SelfReport(_FIRST), True)
     assert heard.by_node["n1"].leaving, "it does not take that back"
-    heard.heard("n1", self_reports.SelfReport(_NEXT), False)
+    heard.record("n1", self_reports.SelfReport(_NEXT), False)
     assert heard.by_node["n1"].start == _FIRST
-    heard.heard("n1", self_reports.SelfReport(_NEXT), True)
+    heard.record("n1", self_reports.SelfReport(_NEXT), True)
     assert not heard.by_node
 
 
 def test_router_remembers_a_bounded_number_of_guards():
     heard = self_reports.ReceivedReports()
     for number in range(5000):
-        heard.heard(f"n{number}", _LIMITED, True)
+        heard.record(f"n{number}", _LIMITED, True)
     assert len(heard.by_node) <= 1024
--- a/tests/unit/test_starvation.py
+++ b/tests/unit/test_starvation.py
@@ -16,8 +16,8 @@
     book = starvation.CallOriginTracker()
     for number in range(40):
         origin = ["catalogue", "enrolment", "timetable", "fees"][number % 4]
-        book.heard("browse", origin)
-        book.heard("fee-rule", "timetable")
+        book.record("browse", origin)
+        book.record("fee-rule", "timetable")
     assert book.is_new_work("browse", 4)
     assert not book.is_new_work("fee-rule", 4)
 
@@ -25,8 +25,8 @@
 def test_class_that_was_hardly_heard_of_is_taken_for_paid_work():
     # Refused by level while it is a call, it would fail a whole request.
     book = starvation.CallOriginTracker()
-    book.heard("browse", "catalogue")
-    book.heard("browse", "fees")
+    book.record("browse", "catalogue")
+    book.record("browse", "fees")
     assert not book.is_new_work("browse", 2)
 
 
