--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -94,7 +94,7 @@
         failed = answer.status >= _SERVER_ERROR and (
             answer.outcome is outcomes.Outcome.DONE or timed_out
         )
-        starved = self._starvation.ended(class_name, started_s, failed)
+        starved = self._starvation.record_end(class_name, started_s, failed)
         now_s = time.monotonic()
         for child in self._starvation.causes(class_name):
             self._book.record_call(
@@ -118,7 +118,7 @@
         no_room = answer.reason in _NO_ROOM or answer.starved
         if no_room and class_name not in self._new_work:
             child = starvation.Child(call.service, class_name)
-            self._starvation.refused(child, time.monotonic())
+            self._starvation.record_refusal(child, time.monotonic())
 
     def _linked_call_ended(
         self, call: calls.Call, answer: outcomes.Answer
@@ -133,4 +133,4 @@
         )
         if answer.reason in _NO_ROOM or answer.starved:
             child = starvation.Child(call.service, class_name)
-            self._starvation.refused(child, now_s)
+            self._starvation.record_refusal(child, now_s)
--- a/packages/burdockfront/src/burdockfront/starvation.py
+++ b/packages/burdockfront/src/burdockfront/starvation.py
@@ -80,11 +80,13 @@
         )
         self._shares: dict[str, dict[Child, float]] = {}
 
-    def refused(self, child: Child, now_s: float) -> None:
+    def record_refusal(self, child: Child, now_s: float) -> None:
         """Notes that a call of the backend server found no room."""
         self._refused.append((now_s, child))
 
-    def ended(self, class_name: str, started_s: float, failed: bool) -> bool:
+    def record_end(
+        self, class_name: str, started_s: float, failed: bool
+    ) -> bool:
         """Learns from the end of a request at the backend server.
 
         Returns:
--- a/tests/unit/test_starvation.py
+++ b/tests/unit/test_starvation.py
@@ -33,8 +33,8 @@
 def test_class_that_fails_with_its_calls_depends_on_them():
     book = starvation.StarvationTracker()
     for at_s in range(20):
-        book.refused(_RULES, at_s + 0.5)
-        assert book.ended("roster", float(at_s), failed=True)
+        book.record_refusal(_RULES, at_s + 0.5)
+        assert book.record_end("roster", float(at_s), failed=True)
     assert book.causes("roster") == [_RULES]
 
 
@@ -44,15 +44,15 @@
     rng = random.Random(5)
     book = starvation.StarvationTracker()
     for at_s in range(2000):
-        book.refused(_RULES, at_s + 0.5)
-        book.ended("timings", float(at_s), failed=rng.random() < 0.02)
+        book.record_refusal(_RULES, at_s + 0.5)
+        book.record_end("timings", float(at_s), failed=rng.random() < 0.02)
         assert not book.causes("timings"), at_s
 
 
 def test_failure_without_a_refused_call_is_not_starvation():
     book = starvation.StarvationTracker()
-    book.refused(_RULES, 1.0)
-    assert not book.ended("roster", 2.0, failed=True)
+    book.record_refusal(_RULES, 1.0)
+    assert not book.record_end("roster", 2.0, failed=True)
 
 
 def test_deep_pressure_reaches_the_class_at_the_entry():
