--- a/packages/burdockfront-node/src/burdockfront_node/gate.py
+++ b/packages/burdockfront-node/src/burdockfront_node/gate.py
@@ -131,7 +131,7 @@
         """
         now_s = time.monotonic()
         if class_name:
-            self._admission.served(class_name, service_s)
+            self._admission.record_service_time(class_name, service_s)
         self._follow(self._admission.release(service_s, now_s))
 
     def tick(self) -> None:
@@ -145,7 +145,7 @@
         before = self._policy
         self._policy = policy
         if policy.admission.kind == before.admission.kind:
-            self._admission.adopt(policy.admission)
+            self._admission.update_policy(policy.admission)
             return
         # Under load there may never be a moment without requests, and a
         # policy has to be in force within seconds: those that hold a slot
--- a/packages/burdockfront/src/burdockfront/admission.py
+++ b/packages/burdockfront/src/burdockfront/admission.py
@@ -60,13 +60,13 @@
     def busy(self) -> float:
         """Returns the share of slots in use lately."""
 
-    def served(self, class_name: str, service_s: float) -> None:
+    def record_service_time(self, class_name: str, service_s: float) -> None:
         """Learns how much slot time a call of a class takes."""
 
     def shed_by_backend(self, now_s: float) -> None:
         """Learns that the backend server itself refused."""
 
-    def adopt(self, new: policy.AdmissionPolicy) -> None:
+    def update_policy(self, new: policy.AdmissionPolicy) -> None:
         """Takes changed parameters."""
 
 
@@ -104,9 +104,9 @@
         """Returns the share of slots in use, smoothed over windows."""
         return self._control.busy
 
-    def adopt(self, new: policy.AdmissionPolicy) -> None:
+    def update_policy(self, new: policy.AdmissionPolicy) -> None:
         """Takes changed parameters."""
-        super().adopt(new)
+        super().update_policy(new)
         self._control.set_target(new.queue_s * _TARGET_SHARE)
 
     def _order(self, context: context_lib.RequestContext) -> tuple[int, ...]:
@@ -177,7 +177,7 @@
         """Returns the share of the slots that is spoken for."""
         return self._flow.busy
 
-    def served(self, class_name: str, service_s: float) -> None:
+    def record_service_time(self, class_name: str, service_s: float) -> None:
         """Learns how much slot time a call of a class takes."""
         before_s = self._work_s.get(class_name, service_s)
         learned_s = before_s + _SERVICE_TIME_WEIGHT * (service_s - before_s)
--- a/packages/burdockfront/src/burdockfront/admission_queue.py
+++ b/packages/burdockfront/src/burdockfront/admission_queue.py
@@ -135,14 +135,14 @@
         """Returns 1.0: kinds without a level do not measure it."""
         return 1.0
 
-    def served(self, class_name: str, service_s: float) -> None:
+    def record_service_time(self, class_name: str, service_s: float) -> None:
         """Learns nothing: only kinds that follow the flow need it."""
 
     def shed_by_backend(self, now_s: float) -> None:
         """Lowers the limit below what was in use."""
         self._limit.shed_by_backend(self.in_use, now_s)
 
-    def adopt(self, new: policy.AdmissionPolicy) -> None:
+    def update_policy(self, new: policy.AdmissionPolicy) -> None:
         """Takes changed parameters."""
         self._policy = new
         self._limit.set_ramp(new.ramp_s)
