--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -53,7 +53,7 @@
                 self.report = dataclasses.replace(self.report, start=start)
             return
         self._answered = False
-        self.rate.begin_anew()
+        self.rate.reset()
         self._believe(self_reports.SelfReport(start), "start")
         for report in list(self._told.values()):
             self.told(report)
--- a/packages/burdockfront-node/src/burdockfront_node/gate.py
+++ b/packages/burdockfront-node/src/burdockfront_node/gate.py
@@ -98,7 +98,7 @@
 
     def begin_anew(self) -> None:
         """Takes the next announcement at its word."""
-        self._limit.begin_anew()
+        self._limit.on_restart()
 
     def shed_by_backend(self) -> None:
         """Learns that the backend server itself refused."""
--- a/packages/burdockfront/src/burdockfront/limits.py
+++ b/packages/burdockfront/src/burdockfront/limits.py
@@ -57,7 +57,7 @@
         if cold:
             self._cold_since_s = now_s
 
-    def begin_anew(self) -> None:
+    def on_restart(self) -> None:
         """Notes that the next announcement is that of another start."""
         self._begins = True
 
--- a/packages/burdockfront/src/burdockfront/rate_limits.py
+++ b/packages/burdockfront/src/burdockfront/rate_limits.py
@@ -41,7 +41,7 @@
         self._named_s = -math.inf
         self._away_s = 0.0
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Forgets the limit: another start has named none."""
         self.per_s = None
         self._named_s = -math.inf
