--- a/packages/burdockfront-bench/src/burdockfront_bench/limit_scale.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/limit_scale.py
@@ -53,7 +53,7 @@
     """
     rng = random.Random(seed)
     rate = rate_limits.RateLimit()
-    rate.hold(_LIMIT_PER_S, 0.0)
+    rate.set_limit(_LIMIT_PER_S, 0.0)
     all_routers = [_a_router(number) for number in range(routers)]
     due = [(rng.expovariate(calls_per_s), n) for n in range(routers)]
     heapq.heapify(due)
@@ -79,7 +79,7 @@
     if rate.take(now_s):
         tally.taken += settled
         return
-    router.limited("limited", rate.refuse(), now_s)
+    router.limited("limited", rate.record_refusal(), now_s)
     tally.refused += settled
     tally.refused_first += not settled
 
--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -77,7 +77,7 @@
         if notice.unreadable:
             self._note_unreadable(notice.unreadable)
         else:
-            self.rate.answered(notice.limit_per_s, handed_s, time.monotonic())
+            self.rate.observe(notice.limit_per_s, handed_s, time.monotonic())
         believed = dataclasses.replace(
             self.report,
             leaving=notice.leaving or self.report.leaving,
@@ -103,7 +103,7 @@
             believed = dataclasses.replace(believed, leaving=True)
         if self._takes_limit(report):
             assert report.limit_per_s is not None
-            self.rate.hold(report.limit_per_s, time.monotonic())
+            self.rate.set_limit(report.limit_per_s, time.monotonic())
             believed = dataclasses.replace(
                 believed, limit_per_s=report.limit_per_s
             )
--- a/packages/burdockfront/src/burdockfront/admission_queue.py
+++ b/packages/burdockfront/src/burdockfront/admission_queue.py
@@ -181,7 +181,9 @@
 
         It says how long a router should stay away.
         """
-        return outcomes.not_run(outcomes.Reason.LIMITED, self._rate.refuse())
+        return outcomes.not_run(
+            outcomes.Reason.LIMITED, self._rate.record_refusal()
+        )
 
     def _refuse_new(self, item_id: str, reason: outcomes.Reason) -> Step:
         answer = outcomes.not_run(reason, RETRY_AFTER_S)
--- a/packages/burdockfront/src/burdockfront/rate_limits.py
+++ b/packages/burdockfront/src/burdockfront/rate_limits.py
@@ -46,7 +46,7 @@
         self.per_s = None
         self._named_s = -math.inf
 
-    def answered(
+    def observe(
         self, per_s: float | None, handed_s: float, now_s: float
     ) -> None:
         """Takes what an answer names.
@@ -64,9 +64,9 @@
         if may_be_older and self.per_s is not None:
             per_s = min(per_s, self.per_s)
         self._named_s = now_s
-        self.hold(per_s, now_s)
+        self.set_limit(per_s, now_s)
 
-    def hold(self, per_s: float, now_s: float) -> None:
+    def set_limit(self, per_s: float, now_s: float) -> None:
         """Holds a limit from now on."""
         if self.per_s is None:
             self.per_s = per_s
@@ -101,7 +101,7 @@
         assert self.per_s is not None, "a limit is named"
         return max(_LEAST_PER_S, self.per_s)
 
-    def refuse(self) -> float:
+    def record_refusal(self) -> float:
         """Notes a refusal, and returns how long its sender should stay away."""
         self._away_s = min(_LONGEST_AWAY_S, self._away_s * _GROWS)
         return self._away_s
--- a/tests/properties/test_rate_limits.py
+++ b/tests/properties/test_rate_limits.py
@@ -48,13 +48,13 @@
     # Each start is told of the limit with the first call that bears it.
     starts = sorted(starts_s)
     rate = rate_limits.RateLimit()
-    rate.hold(limit_per_s, 0.0)
+    rate.set_limit(limit_per_s, 0.0)
     taken_s = []
     for now_s in _steps():
         while starts and starts[0] <= now_s:
             starts.pop(0)
             rate = rate_limits.RateLimit()
-            rate.hold(limit_per_s, now_s)
+            rate.set_limit(limit_per_s, now_s)
         while rate.take(now_s):
             taken_s.append(now_s)
     allowed = _FACTOR * limit_per_s * _WINDOW_S + _EXTRA
@@ -70,7 +70,7 @@
     taken_s = []
     for now_s in _steps():
         index = int(now_s / _LENGTH_S * len(limits_per_s))
-        rate.answered(limits_per_s[index], now_s - _STEP_S, now_s)
+        rate.observe(limits_per_s[index], now_s - _STEP_S, now_s)
         while rate.take(now_s):
             taken_s.append(now_s)
     highest = max(limits_per_s)
@@ -79,7 +79,7 @@
 
 def test_calm_server_gets_all_that_it_takes():
     rate = rate_limits.RateLimit()
-    rate.hold(20.0, 0.0)
+    rate.set_limit(20.0, 0.0)
     taken = sum(rate.take(now_s) for now_s in _steps())
     assert taken >= 20.0 * _LENGTH_S * 0.95
 
@@ -87,40 +87,40 @@
 def test_limit_of_nothing_still_lets_find_out_when_it_ends():
     # With no request at all nobody would ever hear that it takes work again.
     rate = rate_limits.RateLimit()
-    rate.hold(0.0, 0.0)
+    rate.set_limit(0.0, 0.0)
     assert sum(rate.take(now_s) for now_s in _steps()) in range(5, 8)
 
 
 def test_old_answer_that_comes_late_does_not_end_a_limit():
     rate = rate_limits.RateLimit()
-    rate.answered(6.5, handed_s=1.0, now_s=2.0)
-    rate.answered(None, handed_s=1.9, now_s=2.1)
+    rate.observe(6.5, handed_s=1.0, now_s=2.0)
+    rate.observe(None, handed_s=1.9, now_s=2.1)
     assert rate.per_s == 6.5
-    rate.answered(None, handed_s=2.05, now_s=2.2)
+    rate.observe(None, handed_s=2.05, now_s=2.2)
     assert rate.per_s is None
 
 
 def test_limit_binds_though_a_later_request_was_answered_sooner():
     # A long request is answered behind a short one that was sent after it.
     rate = rate_limits.RateLimit()
-    rate.answered(None, handed_s=4.9, now_s=4.95)
-    rate.answered(6.5, handed_s=0.0, now_s=5.0)
+    rate.observe(None, handed_s=4.9, now_s=4.95)
+    rate.observe(6.5, handed_s=0.0, now_s=5.0)
     assert rate.per_s == 6.5
 
 
 def test_of_two_answers_whose_order_is_unknown_the_lower_limit_holds():
     rate = rate_limits.RateLimit()
-    rate.answered(6.5, handed_s=1.0, now_s=2.0)
-    rate.answered(9.0, handed_s=1.5, now_s=2.1)
+    rate.observe(6.5, handed_s=1.0, now_s=2.0)
+    rate.observe(9.0, handed_s=1.5, now_s=2.1)
     assert rate.per_s == 6.5
-    rate.answered(9.0, handed_s=2.15, now_s=2.2)
+    rate.observe(9.0, handed_s=2.15, now_s=2.2)
     assert rate.per_s == 9.0
 
 
 def test_token_goes_to_the_confirmation_and_the_rest_is_refused_at_once():
     """Failure: callers wait in a queue that a limited server never reaches."""
     rate = rate_limits.RateLimit()
-    rate.hold(4.0, 0.0)
+    rate.set_limit(4.0, 0.0)
     pool = builders.an_admission("flow", slots=48, queue_s=0.2, rate=rate)
     refused = {}
     for number in range(10):
@@ -140,7 +140,7 @@
 def test_every_kind_of_admission_holds_the_limit():
     for kind in admission.KINDS.names():
         rate = rate_limits.RateLimit()
-        rate.hold(4.0, 0.0)
+        rate.set_limit(4.0, 0.0)
         pool = builders.an_admission(kind, slots=48, queue_s=9.0, rate=rate)
         started = 0
         for number, now_s in zip(itertools.count(), _steps(), strict=False):
--- a/tests/unit/test_limit_level.py
+++ b/tests/unit/test_limit_level.py
@@ -15,7 +15,7 @@
 ) -> limit_level.LimitLevel:
     """Returns the level after an even flow of requests."""
     rate = rate_limits.RateLimit()
-    rate.hold(_PER_S, 0.0)
+    rate.set_limit(_PER_S, 0.0)
     level = limit_level.LimitLevel(rate)
     due = 0.0
     for tick in range(int(length_s / _TICK_S)):
@@ -45,6 +45,6 @@
 
 def test_level_is_open_again_when_the_limit_has_ended():
     level = _after(30.0, 6.0, depth=1, rank=2)
-    level._rate.answered(None, 7.0, 7.1)
+    level._rate.observe(None, 7.0, 7.1)
     level.advance(7.2)
     assert level.level == levels.OPEN
