--- a/packages/burdockfront/src/burdockfront/limit_level.py
+++ b/packages/burdockfront/src/burdockfront/limit_level.py
@@ -38,7 +38,7 @@
 
     def arrived(self, context: context_lib.RequestContext) -> None:
         """Counts a request, whether there is room for it or not."""
-        if self._flow is not None and insists(context):
+        if self._flow is not None and takes_precedence(context):
             self._flow.arrived(context.priority, 1.0)
 
     def advance(self, now_s: float) -> None:
@@ -54,6 +54,6 @@
             self._flow.advance(room_per_s, now_s)
 
 
-def insists(context: context_lib.RequestContext) -> bool:
+def takes_precedence(context: context_lib.RequestContext) -> bool:
     """Whether a call is among what a limited server takes first."""
     return context.rank == 0 or context.depth > 0
