--- a/packages/burdockfront/src/burdockfront/limits.py
+++ b/packages/burdockfront/src/burdockfront/limits.py
@@ -43,7 +43,7 @@
     @property
     def slots(self) -> int:
         """Slots that are believed, for routers to share the load by."""
-        return self._claims.believed
+        return self._claims.accepted
 
     def announce(self, slots: int, cold: bool, now_s: float) -> None:
         """Takes a new announcement; a cold one starts the ramp again."""
@@ -71,7 +71,7 @@
 
     def shed_by_backend(self, in_use: int, now_s: float) -> None:
         """Learns that the backend server refused with `in_use` slots used."""
-        self._claims.shed(now_s)
+        self._claims.on_shed(now_s)
         cut_to = min(self._uncut(), in_use * _DECREASE)
         self._cut_to = max(1.0, cut_to)
         self._changed_s = now_s
@@ -79,12 +79,12 @@
     def current(self, now_s: float) -> int:
         """Returns the limit now, at least 1."""
         if self._cut_to is None and self._cold_since_s is None:
-            return self._claims.believed
+            return self._claims.accepted
         self._recover(now_s)
         return max(1, math.floor(self._uncut() * self._warmth(now_s)))
 
     def _uncut(self) -> float:
-        believed = float(self._claims.believed)
+        believed = float(self._claims.accepted)
         return believed if self._cut_to is None else min(believed, self._cut_to)
 
     def _recover(self, now_s: float) -> None:
@@ -93,7 +93,7 @@
             return
         self._cut_to += math.floor(elapsed_s / _INCREASE_EVERY_S)
         self._changed_s = now_s
-        if self._cut_to >= self._claims.believed:
+        if self._cut_to >= self._claims.accepted:
             self._cut_to = None
 
     def _warmth(self, now_s: float) -> float:
--- a/packages/burdockfront/src/burdockfront/slot_claims.py
+++ b/packages/burdockfront/src/burdockfront/slot_claims.py
@@ -60,7 +60,7 @@
         return self._claimed
 
     @property
-    def believed(self) -> int:
+    def accepted(self) -> int:
         """Slots that may be used now, a trial's among them."""
         return self._proven + self._step
 
@@ -82,12 +82,12 @@
                 that is not fully used prove nothing.
             now_s: The current time.
         """
-        if self._claimed <= self._proven or in_use < self.believed:
+        if self._claimed <= self._proven or in_use < self.accepted:
             return
         if service_s <= 0.0:
             return
         sample = self._sample
-        if sample.skipped < self.believed:
+        if sample.skipped < self.accepted:
             # Handed over before the last step, so not under this number.
             sample.skipped += 1
             return
@@ -96,7 +96,7 @@
         if sample.count >= _SAMPLES:
             self._judge(now_s)
 
-    def shed(self, now_s: float) -> None:
+    def on_shed(self, now_s: float) -> None:
         """Learns that the server refused work: more slots are not there.
 
         Without this its quick refusals would count as quick service.
--- a/tests/unit/test_slot_claims.py
+++ b/tests/unit/test_slot_claims.py
@@ -20,7 +20,7 @@
     rng = random.Random(seed)
     now_s = 0.0
     for _ in range(requests):
-        in_use = claims.believed
+        in_use = claims.accepted
         stretch = max(1.0, in_use / true_slots)
         service_s = (0.5 + rng.expovariate(2.0)) * _SERVICE_S * stretch
         now_s += service_s / in_use
@@ -34,9 +34,9 @@
     # come first served. One trial at a time may find that out, not all 36.
     claims = slot_claims.SlotClaims(4)
     claims.claim(40)
-    assert claims.believed == 4
+    assert claims.accepted == 4
     _serve(claims, true_slots=4, requests=3000, seed=seed)
-    assert claims.believed <= 6
+    assert claims.accepted <= 6
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -44,13 +44,13 @@
     claims = slot_claims.SlotClaims(4)
     claims.claim(16)
     _serve(claims, true_slots=16, requests=20_000, seed=seed)
-    assert claims.believed >= 13
+    assert claims.accepted >= 13
 
 
 def test_smaller_claim_is_believed_at_once():
     claims = slot_claims.SlotClaims(8)
     claims.claim(3)
-    assert claims.believed == 3
+    assert claims.accepted == 3
 
 
 def test_server_that_is_not_fully_used_proves_nothing():
@@ -58,7 +58,7 @@
     claims.claim(40)
     for number in range(2000):
         claims.completed(_SERVICE_S, 3, number * 0.01)
-    assert claims.believed == 4
+    assert claims.accepted == 4
 
 
 def test_quick_refusals_are_no_proof():
@@ -67,9 +67,9 @@
     claims = slot_claims.SlotClaims(4)
     claims.claim(40)
     _serve(claims, true_slots=4, requests=104, seed=1)
-    assert claims.believed == 5
-    claims.shed(10.0)
-    assert claims.believed == 4
+    assert claims.accepted == 5
+    claims.on_shed(10.0)
+    assert claims.accepted == 4
 
 
 def test_server_that_sheds_during_a_trial_ends_it():
