--- a/packages/burdockfront/src/burdockfront/self_reports.py
+++ b/packages/burdockfront/src/burdockfront/self_reports.py
@@ -1,8 +1,9 @@
-"""What a backend server says of itself on its answers.
+"""Self reports that backend servers attach to their answers.
 
-A server in need names how many requests a second it takes from all nodes
-together, for as long as it says so. One that leaves says that too. Both are
-about one start of the server: the next one has said nothing yet.
+An overloaded backend server reports the request rate that it accepts from all
+nodes together; the limit applies for as long as its answers carry it. A server
+that is shutting down reports that it is leaving. Both apply to one incarnation
+of the server: a new incarnation starts without any report.
 """
 
 import collections
@@ -12,20 +13,22 @@
 from burdockfront import errors
 from burdockfront import incarnations
 
-_PARTS = 4
-# More than the nodes of the largest system; each says something but seldom.
-_MOST_REMEMBERED = 1024
+_FIELD_COUNT = 4
+# More than the number of nodes of the largest system. Few guards have a report
+# to keep at any time.
+_MAX_GUARDS = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BackendNotice:
-    """What one answer says.
+    """The self report on a single answer of a backend server.
 
     Attributes:
-        leaving: The server wants no new work.
-        limit_per_s: Requests a second that it takes; None: it names no limit.
-        unreadable: A limit that is no number of requests, as it was named;
-            empty if there is none.
+        leaving: The server is shutting down and wants no new work.
+        limit_per_s: Accepted requests per second; None if the answer carries
+            no limit.
+        unreadable: The raw text of a limit that could not be parsed; empty if
+            there is none.
     """
 
     leaving: bool = False
@@ -33,18 +36,18 @@
     unreadable: str = ""
 
 
-# Nearly all answers say nothing of the kind.
+# Shared by the great majority of answers, which carry no self report.
 NO_NOTICE = BackendNotice()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SelfReport:
-    """What one start of a backend server said last, as nodes tell each other.
+    """The latest self report of one incarnation, as exchanged between nodes.
 
     Attributes:
-        start: Who said it.
-        leaving: It wants no new work.
-        limit_per_s: Requests a second that it takes; None: as many as it can.
+        start: The incarnation of the backend server.
+        leaving: It is shutting down and wants no new work.
+        limit_per_s: Accepted requests per second; None if it is not limited.
     """
 
     start: incarnations.Start
@@ -53,11 +56,11 @@
 
     @property
     def is_plain(self) -> bool:
-        """Whether it says nothing out of the ordinary."""
+        """Whether the server neither is leaving nor has a limit."""
         return not self.leaving and self.limit_per_s is None
 
     def to_parts(self) -> list[object]:
-        """Returns it as it travels between nodes."""
+        """Returns the wire form that nodes exchange."""
         start = self.start
         return [
             start.instance_id,
@@ -68,15 +71,17 @@
 
 
 class ReceivedReports:
-    """What guards told of their backend servers, kept by those who asked.
+    """Tracks the latest self reports that a node received from guards.
 
-    A guard that begins anew knows nothing of its server, while every VM that
-    passed the server's answers on is bound by them. So a call to that guard
-    bears what its sender heard last, and the guard knows it before it hands
-    over anything of that sender.
+    A guard that restarts has lost the self report of its backend server,
+    while every VM that relayed the server's answers still has to respect it.
+    Each call to the guard therefore carries the last report that its sender
+    received, and the guard knows it before it hands over any request of that
+    sender.
 
     Attributes:
-        by_node: The last report of each guard that said anything.
+        by_node: The last report of each guard whose backend server is leaving
+            or limited.
     """
 
     def __init__(self) -> None:
@@ -87,14 +92,15 @@
     def record(
         self, node_id: str, report: SelfReport, from_server: bool
     ) -> None:
-        """Takes what came with an answer.
+        """Records the self report on an answer.
 
         Args:
-            node_id: The guard that told it.
-            report: What it told.
-            from_server: The backend server itself gave the answer. A guard's
-                own word on another start may rest on a late heartbeat; that a
-                server left is forgotten only when its successor answers.
+            node_id: The guard that sent it.
+            report: The report.
+            from_server: Whether the backend server itself gave the answer. A
+                report of another incarnation that comes from the guard alone
+                may be based on a late heartbeat. That a server is leaving is
+                therefore cleared only by an answer of its successor.
         """
         known = self.by_node.get(node_id)
         if known is not None and known.leaving:
@@ -106,15 +112,15 @@
             self.by_node.pop(node_id, None)
             return
         self.by_node[node_id] = report
-        if len(self.by_node) > _MOST_REMEMBERED:
+        if len(self.by_node) > _MAX_GUARDS:
             self.by_node.popitem(last=False)
 
 
 def limit_from(values: list[str]) -> BackendNotice:
-    """Reads a limit that an answer names.
+    """Parses the limit on an answer.
 
     Args:
-        values: As they stand on the answer. Of several the lowest holds.
+        values: All values of the header; the lowest one applies.
     """
     limits = []
     for value in values:
@@ -129,20 +135,21 @@
 
 
 def from_parts(parts: object) -> SelfReport:
-    """Reads a report of another node.
+    """Parses the wire form of a report.
 
     Raises:
-        InvalidInputError: It was not made by this release.
+        InvalidInputError: The value does not have the form that this release
+            writes.
     """
-    if not isinstance(parts, list) or len(parts) != _PARTS:
-        raise _strange(parts)
+    if not isinstance(parts, list) or len(parts) != _FIELD_COUNT:
+        raise _invalid(parts)
     instance_id, born_ms, leaving, limit_per_s = parts
     if not isinstance(instance_id, str) or not isinstance(leaving, bool):
-        raise _strange(parts)
+        raise _invalid(parts)
     if born_ms is not None and not _is_number(born_ms):
-        raise _strange(parts)
+        raise _invalid(parts)
     if limit_per_s is not None and not _is_limit(limit_per_s):
-        raise _strange(parts)
+        raise _invalid(parts)
     start = incarnations.Start(instance_id, born_ms)
     return SelfReport(start, leaving, limit_per_s)
 
@@ -155,7 +162,7 @@
     return _is_number(value) and 0.0 <= value < math.inf
 
 
-def _strange(parts: object) -> errors.InvalidInputError:
+def _invalid(parts: object) -> errors.InvalidInputError:
     return errors.InvalidInputError(
         f"expected a backend server's report as [id, born, leaving, limit], "
         f"got {str(parts)[:60]!r}; all nodes must run compatible releases."
