--- a/packages/burdockfront/src/burdockfront/stall_detection.py
+++ b/packages/burdockfront/src/burdockfront/stall_detection.py
@@ -1,74 +1,84 @@
-"""Finds out that a backend server has stopped answering altogether.
+"""Detects a backend server that has stopped answering altogether.
 
-A frozen backend server takes its slots' worth of requests and answers none.
-Its announcements stop too, but only after seconds that is noticed, and until
-then its guard looks like an overloaded one: it refuses, lowers its level, and
-routers refuse requests that its healthy siblings could serve.
+A frozen backend server fills its slots with requests and answers none of them.
+Its announcements stop too, but that is detected only after seconds. Until then
+its guard looks overloaded: it refuses requests and lowers its level, and
+routers refuse requests that healthy servers of the service could serve.
 
-Symptom: requests are in its hands and none of them has ended for much longer
-than one takes. One that is merely slow still ends requests now and then, so
-the bound is a multiple of the usual time, with a floor for fast services.
+A server counts as stalled when requests are in flight and none has ended for
+much longer than a request usually takes. A server that is merely slow still
+ends requests now and then, so the time limit is a multiple of the usual
+service time, with a lower bound for fast services.
 """
 
 _FLOOR_S = 0.5
-_TIMES = 8.0
-_WEIGHT = 0.1
-# Until the first answer.
-_FIRST_USUAL_S = 0.05
+_SERVICE_TIME_FACTOR = 8.0
+_SERVICE_TIME_WEIGHT = 0.1
+# Used until the first answer.
+_INITIAL_SERVICE_S = 0.05
 
 
 class StallDetector:
-    """Watches one backend server's answers.
+    """Detects stalls of one backend server.
 
     Args:
-        floor_s: Never judged to have stalled sooner than this; above what
-            the longest requests of its service usually take.
+        floor_s: Lower bound of the time without an answer after which the
+            server counts as stalled; must exceed what the longest requests of
+            its service usually take.
     """
 
     def __init__(self, floor_s: float = _FLOOR_S) -> None:
         self._floor_s = floor_s
-        self._in_hand = 0
-        self._quiet_since_s = 0.0
-        self._usual_s = _FIRST_USUAL_S
+        self._in_flight = 0
+        self._last_progress_s = 0.0
+        self._service_s = _INITIAL_SERVICE_S
         self._stalled_since_s: float | None = None
 
     @property
     def stalled(self) -> bool:
-        """Whether it answers nothing at the moment."""
+        """Whether the server is currently stalled."""
         return self._stalled_since_s is not None
 
     def on_sent(self, now_s: float) -> None:
-        """Notes a request that was handed over."""
-        if self._in_hand == 0:
-            self._quiet_since_s = now_s
-        self._in_hand += 1
+        """Records a request that was handed over to the server."""
+        if self._in_flight == 0:
+            self._last_progress_s = now_s
+        self._in_flight += 1
 
     def on_answer(self, took_s: float, now_s: float) -> None:
-        """Notes an answer: it is alive."""
-        self._in_hand -= 1
-        self._quiet_since_s = now_s
-        self._usual_s += _WEIGHT * (took_s - self._usual_s)
+        """Records an answer, which ends a stall."""
+        self._in_flight -= 1
+        self._last_progress_s = now_s
+        self._service_s += _SERVICE_TIME_WEIGHT * (took_s - self._service_s)
         self._stalled_since_s = None
 
     def on_restart(self, now_s: float) -> None:
-        """Notes another start: the silence of the one before says nothing."""
-        self._quiet_since_s = now_s
-        self._usual_s = _FIRST_USUAL_S
+        """Resets the detector for a new incarnation of the server.
+
+        Time without an answer under the previous incarnation does not count.
+        """
+        self._last_progress_s = now_s
+        self._service_s = _INITIAL_SERVICE_S
         self._stalled_since_s = None
 
     def on_abandoned(self) -> None:
-        """Notes a request whose answer nobody waits for any more."""
-        self._in_hand -= 1
+        """Records a request whose answer is no longer awaited."""
+        self._in_flight -= 1
 
     def on_announcement(self, now_s: float) -> None:
-        """Notes an announcement, which a frozen process can't make."""
-        if self._in_hand == 0:
+        """Ends a stall if no requests are in flight.
+
+        A frozen process can't send announcements.
+        """
+        if self._in_flight == 0:
             self._stalled_since_s = None
 
     def check(self, now_s: float) -> bool:
-        """Returns whether it has stalled, as of now."""
-        bound_s = max(self._floor_s, _TIMES * self._usual_s)
-        quiet = self._in_hand > 0 and now_s - self._quiet_since_s > bound_s
-        if quiet and self._stalled_since_s is None:
+        """Updates and returns whether the server is stalled."""
+        limit_s = max(self._floor_s, _SERVICE_TIME_FACTOR * self._service_s)
+        overdue = (
+            self._in_flight > 0 and now_s - self._last_progress_s > limit_s
+        )
+        if overdue and self._stalled_since_s is None:
             self._stalled_since_s = now_s
         return self.stalled
