--- a/packages/burdockfront/src/burdockfront/admission.py
+++ b/packages/burdockfront/src/burdockfront/admission.py
@@ -91,7 +91,7 @@
         """Also sets the level at the end of each window."""
         step = super().advance(now_s)
         self._limit_level.advance(now_s)
-        if self._control.over(now_s):
+        if self._control.is_window_over(now_s):
             slots = self._limit.current(now_s)
             self._control.advance(self._busy_share(now_s), slots, now_s)
         return step
@@ -134,16 +134,16 @@
         return context.depth == 0 and context.priority > self.level()
 
     def _count_offered(self, context: context_lib.RequestContext) -> None:
-        self._limit_level.arrived(context)
+        self._limit_level.record_arrival(context)
 
     def _count_admitted(self, context: context_lib.RequestContext) -> None:
-        self._control.admitted(context.priority)
+        self._control.record_admitted(context.priority)
 
     def _waited(self, delay_s: float) -> None:
-        self._control.waited(delay_s)
+        self._control.record_wait(delay_s)
 
     def _dropped(self, priority: int) -> None:
-        self._control.dropped(priority)
+        self._control.record_dropped(priority)
 
 
 @KINDS.register("flow")
@@ -165,7 +165,7 @@
         """Also sets the level at the end of each window."""
         step = admission_queue.QueueAdmission.advance(self, now_s)
         self._limit_level.advance(now_s)
-        if self._flow.over(now_s):
+        if self._flow.is_window_over(now_s):
             self._flow.advance(self._limit.current(now_s), now_s)
         return step
 
@@ -185,10 +185,10 @@
 
     def _count_admitted(self, context: context_lib.RequestContext) -> None:
         work_s = self._work_s.get(context.class_name, self._service_s)
-        self._flow.arrived(context.priority, work_s)
+        self._flow.record_arrival(context.priority, work_s)
 
     def _waited(self, delay_s: float) -> None:
-        self._flow.waited(delay_s)
+        self._flow.record_wait(delay_s)
 
     def _dropped(self, priority: int) -> None:
         pass
--- a/packages/burdockfront/src/burdockfront/flow_level.py
+++ b/packages/burdockfront/src/burdockfront/flow_level.py
@@ -89,7 +89,7 @@
         """Share of the slots that the calls of the last window take."""
         return self._flow
 
-    def arrived(self, priority: int, work_s: float) -> None:
+    def record_arrival(self, priority: int, work_s: float) -> None:
         """Counts a call that was let in.
 
         Args:
@@ -100,13 +100,13 @@
         self._work_s[rank] = self._work_s.get(rank, 0.0) + work_s
         self._highest_rank = max(self._highest_rank, rank)
 
-    def waited(self, delay_s: float) -> None:
+    def record_wait(self, delay_s: float) -> None:
         """Records the wait of a call that got a slot."""
         shortest_s = self._shortest_wait_s
         if shortest_s is None or delay_s < shortest_s:
             self._shortest_wait_s = delay_s
 
-    def over(self, now_s: float) -> bool:
+    def is_window_over(self, now_s: float) -> bool:
         """Whether the window is over and `advance` is due."""
         return now_s - self._begin_s >= self._window_s
 
--- a/packages/burdockfront/src/burdockfront/limit_level.py
+++ b/packages/burdockfront/src/burdockfront/limit_level.py
@@ -36,10 +36,10 @@
         """Highest priority number that is admitted now."""
         return levels.OPEN if self._flow is None else self._flow.level
 
-    def arrived(self, context: context_lib.RequestContext) -> None:
+    def record_arrival(self, context: context_lib.RequestContext) -> None:
         """Counts a request, whether there is room for it or not."""
         if self._flow is not None and takes_precedence(context):
-            self._flow.arrived(context.priority, 1.0)
+            self._flow.record_arrival(context.priority, 1.0)
 
     def advance(self, now_s: float) -> None:
         """Sets the level at the end of each window."""
@@ -50,7 +50,7 @@
         if self._flow is None:
             window_s = max(_WINDOW_S, _LEAST_REQUESTS / room_per_s)
             self._flow = flow_level.FlowControl(window_s, now_s)
-        elif self._flow.over(now_s):
+        elif self._flow.is_window_over(now_s):
             self._flow.advance(room_per_s, now_s)
 
 
--- a/tests/unit/test_flow_level.py
+++ b/tests/unit/test_flow_level.py
@@ -39,12 +39,12 @@
         capacity = _SLOTS * _WINDOW_S / _WORK_S
         arrived = 0
         for _ in range(int(capacity * _CONFIRM_SHARE)):
-            self.control.arrived(100, _WORK_S)
+            self.control.record_arrival(100, _WORK_S)
             arrived += 1
         for _ in range(int(capacity * browse_share)):
             priority = 2 * context.ORDINALS + self._rng.randrange(256)
             if priority <= level:
-                self.control.arrived(priority, _WORK_S)
+                self.control.record_arrival(priority, _WORK_S)
                 arrived += 1
         self._now_s += _WINDOW_S
         self.control.advance(_SLOTS, self._now_s)
@@ -92,7 +92,7 @@
     control = flow_level.FlowControl(_WINDOW_S, 0.0)
     for number in range(60):
         for _ in range(200):
-            control.arrived(100, _WORK_S)
+            control.record_arrival(100, _WORK_S)
         control.advance(_SLOTS, (number + 1) * _WINDOW_S)
     assert control.level < context.ORDINALS
 
--- a/tests/unit/test_limit_level.py
+++ b/tests/unit/test_limit_level.py
@@ -22,7 +22,7 @@
         due += arrivals_per_s * _TICK_S
         while due >= 1.0:
             due -= 1.0
-            level.arrived(builders.a_context(**changes))
+            level.record_arrival(builders.a_context(**changes))
         level.advance(tick * _TICK_S)
     return level
 
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -72,10 +72,10 @@
 def _pressed(control: levels.LevelControl, windows: int, rank: int) -> None:
     for number in range(windows):
         for ordinal in range(0, 256, 16):
-            control.admitted(256 + ordinal)
-            control.admitted(ordinal)
+            control.record_admitted(256 + ordinal)
+            control.record_admitted(ordinal)
         for _ in range(4):
-            control.dropped(rank * 256 + 200)
+            control.record_dropped(rank * 256 + 200)
         control.advance(1.0, 4, 0.2 * (number + 1))
 
 
