--- a/packages/burdockfront/src/burdockfront/admission.py
+++ b/packages/burdockfront/src/burdockfront/admission.py
@@ -1,12 +1,13 @@
-"""Admission at the guard: who gets the next slot of the backend server.
+"""Admission at the guard: assigns the slots of the backend server to requests.
 
-The queue is ordered by (rank, paid for, ordinal). Rank first: browsing goes
-before confirmations. Within a rank, work already paid for comes first: a call
-from an upper layer carries the work done there, and refusing it wastes that
-work, while refusing a new request wastes nothing. Then the ordinal, which is
-the same in all layers, so that layers refuse the same requests.
+The queue is ordered by rank, then by whether work was already invested in the
+request, then by ordinal. The rank comes first, so that browsing is shed before
+confirmations. Within a rank, calls from upper layers precede new requests:
+refusing such a call wastes the work already done in those layers, while
+refusing a new request wastes nothing. The ordinal of a request is the same in
+all layers, so that all layers refuse the same requests.
 
-The kinds `limit` and `none` are the baselines to compare with.
+The kinds `limit` and `none` are baselines for comparison.
 """
 
 import heapq
@@ -28,51 +29,58 @@
 _FLOW_WINDOW_S = 0.25
 _TARGET_SHARE = 0.25
 _SERVICE_TIME_WEIGHT = 0.1
-_TOP_RANK_PATIENCE = 4
+_LONG_WAIT_FACTOR = 4
 RETRY_AFTER_S = admission_queue.RETRY_AFTER_S
 
 
 class Admission(Protocol):
-    """What a guard asks; see `LevelAdmission` for the meaning."""
+    """Interface of admission for a guard.
+
+    Attributes:
+        in_use: Slots in use.
+    """
 
     in_use: int
 
     def offer(
         self, item_id: str, context: context_lib.RequestContext, now_s: float
     ) -> admission_queue.Step:
-        """Takes a request that arrived."""
+        """Starts, queues or refuses a request that arrived."""
 
     def release(self, service_s: float, now_s: float) -> admission_queue.Step:
-        """Takes back a slot."""
+        """Releases the slot of a request that ended."""
 
     def cancel(self, item_id: str) -> None:
-        """Drops a queued request whose caller has gone."""
+        """Removes a queued request whose caller disconnected."""
 
     def advance(self, now_s: float) -> admission_queue.Step:
-        """Lets time pass."""
+        """Processes timeouts, and starts requests where slots are free."""
 
     def level(self) -> int:
         """Returns the highest admitted priority number."""
 
     def load(self, now_s: float) -> float:
-        """Returns slots used and waited for, per slot."""
+        """Returns the number of running and queued requests, per slot."""
 
     def busy(self) -> float:
-        """Returns the share of slots in use lately."""
+        """Returns the share of slots that was recently in use."""
 
     def record_service_time(self, class_name: str, service_s: float) -> None:
-        """Learns how much slot time a call of a class takes."""
+        """Records how much slot time a call of a class took."""
 
     def shed_by_backend(self, now_s: float) -> None:
-        """Learns that the backend server itself refused."""
+        """Records that the backend server itself refused a request."""
 
     def update_policy(self, new: policy.AdmissionPolicy) -> None:
-        """Takes changed parameters."""
+        """Applies changed parameters."""
 
 
 @KINDS.register("level")
 class LevelAdmission(admission_queue.QueueAdmission):
-    """Priority order, with a level that refuses at once and flows back."""
+    """Priority queue with a level above which new requests are refused at once.
+
+    The level is returned on answers, so that entries refuse early as well.
+    """
 
     def __init__(
         self,
@@ -88,7 +96,7 @@
         self._limit_level = limit_level.LimitLevel(rate)
 
     def advance(self, now_s: float) -> admission_queue.Step:
-        """Also sets the level at the end of each window."""
+        """Also updates the level at the end of each window."""
         step = super().advance(now_s)
         self._limit_level.advance(now_s)
         if self._control.is_window_over(now_s):
@@ -105,7 +113,7 @@
         return self._control.busy
 
     def update_policy(self, new: policy.AdmissionPolicy) -> None:
-        """Takes changed parameters."""
+        """Applies changed parameters."""
         super().update_policy(new)
         self._control.set_target(new.queue_s * _TARGET_SHARE)
 
@@ -113,42 +121,43 @@
         new_work = 1 if context.depth == 0 else 0
         return (context.rank, new_work, context.ordinal)
 
-    def _patience_s(self, context: context_lib.RequestContext) -> float:
-        """Paid work and the most important requests may wait longer.
+    def _max_wait_s(self, context: context_lib.RequestContext) -> float:
+        """Returns the wait limit, longer for upper-layer calls and top rank.
 
-        To drop a call of an upper layer fails the whole request, with all
-        that was done for it; a wait merely makes it later.
+        Dropping a call of an upper layer fails the whole request and wastes
+        the work done for it, while a longer wait only delays it.
 
-        They are first in the queue, so they wait long only while slots are
-        held by requests that wait in a deeper service themselves. Dropping
-        a confirmation for that would shed it before the browsing that holds
-        the slots.
+        These requests are first in the queue, so they wait long only while the
+        slots are held by requests that themselves wait in a deeper service.
+        Dropping a confirmation then would shed it before the browsing that
+        holds the slots.
         """
         if context.rank > 0 and context.depth == 0:
-            return super()._patience_s(context)
-        longest_s = self._policy.queue_s * _TOP_RANK_PATIENCE
-        return min(longest_s, context.remaining_s / 2)
+            return super()._max_wait_s(context)
+        wait_limit_s = self._policy.queue_s * _LONG_WAIT_FACTOR
+        return min(wait_limit_s, context.remaining_s / 2)
 
     def _above_level(self, context: context_lib.RequestContext) -> bool:
-        # Calls from upper layers are paid for: only the queue refuses them.
+        # Calls from upper layers carry invested work: only the queue refuses
+        # them.
         return context.depth == 0 and context.priority > self.level()
 
-    def _count_offered(self, context: context_lib.RequestContext) -> None:
+    def _record_offered(self, context: context_lib.RequestContext) -> None:
         self._limit_level.record_arrival(context)
 
-    def _count_admitted(self, context: context_lib.RequestContext) -> None:
+    def _record_admitted(self, context: context_lib.RequestContext) -> None:
         self._control.record_admitted(context.priority)
 
-    def _waited(self, delay_s: float) -> None:
+    def _record_wait(self, delay_s: float) -> None:
         self._control.record_wait(delay_s)
 
-    def _dropped(self, priority: int) -> None:
+    def _record_dropped(self, priority: int) -> None:
         self._control.record_dropped(priority)
 
 
 @KINDS.register("flow")
 class FlowAdmission(LevelAdmission):
-    """Like `level`, with the level of a guard that is far from the entries."""
+    """Like `level`, with a level control for guards far from the entries."""
 
     def __init__(
         self,
@@ -162,7 +171,7 @@
         self._work_s: dict[str, float] = {}
 
     def advance(self, now_s: float) -> admission_queue.Step:
-        """Also sets the level at the end of each window."""
+        """Also updates the level at the end of each window."""
         step = admission_queue.QueueAdmission.advance(self, now_s)
         self._limit_level.advance(now_s)
         if self._flow.is_window_over(now_s):
@@ -174,29 +183,29 @@
         return min(self._flow.level, self._limit_level.level)
 
     def busy(self) -> float:
-        """Returns the share of the slots that is spoken for."""
+        """Returns the share of the slot time that recent arrivals take."""
         return self._flow.busy
 
     def record_service_time(self, class_name: str, service_s: float) -> None:
-        """Learns how much slot time a call of a class takes."""
+        """Updates the mean slot time of the calls of a class."""
         before_s = self._work_s.get(class_name, service_s)
-        learned_s = before_s + _SERVICE_TIME_WEIGHT * (service_s - before_s)
-        self._work_s[class_name] = learned_s
+        updated_s = before_s + _SERVICE_TIME_WEIGHT * (service_s - before_s)
+        self._work_s[class_name] = updated_s
 
-    def _count_admitted(self, context: context_lib.RequestContext) -> None:
+    def _record_admitted(self, context: context_lib.RequestContext) -> None:
         work_s = self._work_s.get(context.class_name, self._service_s)
         self._flow.record_arrival(context.priority, work_s)
 
-    def _waited(self, delay_s: float) -> None:
+    def _record_wait(self, delay_s: float) -> None:
         self._flow.record_wait(delay_s)
 
-    def _dropped(self, priority: int) -> None:
+    def _record_dropped(self, priority: int) -> None:
         pass
 
 
 @KINDS.register("limit")
 class LimitAdmission(admission_queue.QueueAdmission):
-    """Baseline: a limit per hop, first come first served."""
+    """Baseline: a concurrency limit per hop, first come first served."""
 
     def _order(self, context: context_lib.RequestContext) -> tuple[int, ...]:
         return ()
@@ -204,7 +213,7 @@
 
 @KINDS.register("none")
 class NoAdmission(admission_queue.QueueAdmission):
-    """Baseline: everything goes to the backend server at once."""
+    """Baseline: all requests go to the backend server at once."""
 
     def _order(self, context: context_lib.RequestContext) -> tuple[int, ...]:
         return ()
@@ -213,7 +222,7 @@
         started = []
         while self._heap:
             _, _, waiting = self._heap[0]
-            if not waiting.gone:
+            if not waiting.removed:
                 if not self._rate.take(now_s):
                     break
                 del self._by_id[waiting.item_id]
@@ -229,16 +238,17 @@
     now_s: float,
     rate: rate_limits.RateLimit | None = None,
 ) -> Admission:
-    """Returns admission of the policy's kind.
+    """Creates admission of the kind that the policy names.
 
     Args:
-        admission_policy: Names the kind, and its parameters.
-        limit: How many requests may run at once.
+        admission_policy: The kind and its parameters.
+        limit: Limit on concurrent requests.
         now_s: The current time.
-        rate: The rate that the backend server names; by default none, ever.
+        rate: Rate limit that the backend server reports. Defaults to one that
+            is never set.
 
     Raises:
-        UnknownVariantError: The policy names no registered kind.
+        UnknownVariantError: The policy's kind is not registered.
     """
     kind = KINDS.get(admission_policy.kind)
     rate = rate or rate_limits.RateLimit()
--- a/packages/burdockfront/src/burdockfront/admission_queue.py
+++ b/packages/burdockfront/src/burdockfront/admission_queue.py
@@ -1,9 +1,9 @@
-"""The part that all kinds of admission share: slots, and a queue before them.
+"""Base of all kinds of admission: slots with a bounded queue.
 
-The queue is bounded by time, not by length: a request waits `queue_s` at the
-most, and one whose deadline can't be met is refused at once. When a better
-request arrives and the queue already holds more than can be served in
-`queue_s`, the worst one is refused at once.
+The queue is bounded by time, not by length: a request waits at most `queue_s`,
+and a request whose deadline can't be met is refused at once. When a request
+arrives while the queue holds more than can be served in `queue_s`, the requests
+that are last in the queue's order are refused at once.
 """
 
 import dataclasses
@@ -19,14 +19,14 @@
 
 _SERVICE_TIME_WEIGHT = 0.1
 _MIN_QUEUE = 2
-# What a refused caller is told: long enough that repeats don't add to the
-# load that caused the refusal, short enough for the recovery aim of seconds.
+# Retry delay sent with a refusal: long enough that repeats don't add to the
+# load that caused the refusal, short enough to recover within seconds.
 RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A queued request that is given up, with the answer it gets now."""
+    """A refused request and the answer that it gets."""
 
     item_id: str
     answer: outcomes.Answer
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """What follows from an event: requests that start and that are refused."""
+    """Result of an event: requests that start and that are refused."""
 
     started: tuple[str, ...] = ()
     refused: tuple[Refusal, ...] = ()
@@ -46,13 +46,13 @@
     order: tuple[int, ...]
     priority: int
     arrived_s: float
-    give_up_s: float
-    patient: bool
-    gone: bool = False
+    expires_s: float
+    long_wait: bool
+    removed: bool = False
 
 
 class QueueAdmission:
-    """Slots, a time-bounded queue, and its order, which a kind defines."""
+    """Slots with a time-bounded queue, in an order that subclasses define."""
 
     def __init__(
         self,
@@ -81,19 +81,19 @@
             return self._refuse_new(item_id, outcomes.Reason.SHED)
         if context.remaining_s <= 0.0:
             return self._refuse_new(item_id, outcomes.Reason.DEADLINE)
-        patience_s = self._patience_s(context)
+        max_wait_s = self._max_wait_s(context)
         if self._rate.per_s is not None:
-            self._count_offered(context)
-            if self._token_wait_s(context, now_s) > patience_s:
-                return Step(refused=(Refusal(item_id, self._limited()),))
-        self._count_admitted(context)
+            self._record_offered(context)
+            if self._token_wait_s(context, now_s) > max_wait_s:
+                return Step(refused=(Refusal(item_id, self._limit_refusal()),))
+        self._record_admitted(context)
         waiting = _Waiting(
             item_id,
             self._order(context),
             context.priority,
             now_s,
-            now_s + patience_s,
-            patience_s > self._policy.queue_s,
+            now_s + max_wait_s,
+            max_wait_s > self._policy.queue_s,
         )
         self._by_id[item_id] = waiting
         heapq.heappush(
@@ -103,24 +103,27 @@
         return Step(started, self._trim(now_s))
 
     def release(self, service_s: float, now_s: float) -> Step:
-        """Frees a slot, learns the service time, starts the next."""
+        """Frees a slot, records the service time and starts queued requests."""
         assert self.in_use > 0, "a slot is released once"
         self._count_busy(now_s)
         self._limit.completed(service_s, self.in_use, now_s)
         self.in_use -= 1
         self._service_s += _SERVICE_TIME_WEIGHT * (service_s - self._service_s)
-        refused = self._give_up(now_s)
+        refused = self._refuse_expired(now_s)
         return Step(self._start(now_s), refused)
 
     def cancel(self, item_id: str) -> None:
-        """Drops a queued request whose caller has gone."""
+        """Removes a queued request whose caller disconnected."""
         waiting = self._by_id.pop(item_id, None)
         if waiting is not None:
-            waiting.gone = True
+            waiting.removed = True
 
     def advance(self, now_s: float) -> Step:
-        """Gives up what waited too long; starts what a ramp allows."""
-        refused = self._give_up(now_s)
+        """Refuses requests past their wait limit and starts what slots allow.
+
+        The number of slots grows with time during a ramp.
+        """
+        refused = self._refuse_expired(now_s)
         return Step(self._start(now_s), refused)
 
     def level(self) -> int:
@@ -128,26 +131,26 @@
         return levels.OPEN
 
     def load(self, now_s: float) -> float:
-        """Returns slots used and waited for, per slot."""
+        """Returns the number of running and queued requests, per slot."""
         return (self.in_use + len(self._by_id)) / self._limit.current(now_s)
 
     def busy(self) -> float:
-        """Returns 1.0: kinds without a level do not measure it."""
+        """Returns 1.0; kinds without a level do not measure utilization."""
         return 1.0
 
     def record_service_time(self, class_name: str, service_s: float) -> None:
-        """Learns nothing: only kinds that follow the flow need it."""
+        """Does nothing; only kinds that follow the flow need service times."""
 
     def shed_by_backend(self, now_s: float) -> None:
-        """Lowers the limit below what was in use."""
+        """Lowers the concurrency limit below the number of slots in use."""
         self._limit.shed_by_backend(self.in_use, now_s)
 
     def update_policy(self, new: policy.AdmissionPolicy) -> None:
-        """Takes changed parameters."""
+        """Applies changed parameters."""
         self._policy = new
         self._limit.set_ramp(new.ramp_s)
 
-    def _patience_s(self, context: context_lib.RequestContext) -> float:
+    def _max_wait_s(self, context: context_lib.RequestContext) -> float:
         return min(self._policy.queue_s, context.remaining_s)
 
     def _order(self, context: context_lib.RequestContext) -> tuple[int, ...]:
@@ -156,30 +159,30 @@
     def _above_level(self, context: context_lib.RequestContext) -> bool:
         return False
 
-    def _count_offered(self, context: context_lib.RequestContext) -> None:
-        """Notes a request that came while the server names a limit."""
+    def _record_offered(self, context: context_lib.RequestContext) -> None:
+        """Records a request that arrived while a rate limit applies."""
 
-    def _count_admitted(self, context: context_lib.RequestContext) -> None:
+    def _record_admitted(self, context: context_lib.RequestContext) -> None:
         pass
 
-    def _waited(self, delay_s: float) -> None:
+    def _record_wait(self, delay_s: float) -> None:
         pass
 
-    def _dropped(self, priority: int) -> None:
+    def _record_dropped(self, priority: int) -> None:
         pass
 
     def _token_wait_s(
         self, context: context_lib.RequestContext, now_s: float
     ) -> float:
-        """Returns how long a request would wait for the server's own limit."""
+        """Returns how long a request would wait for a rate limit token."""
         order = self._order(context)
         ahead = sum(w.order <= order for w in self._by_id.values())
         return self._rate.wait_s(ahead + 1, now_s)
 
-    def _limited(self) -> outcomes.Answer:
-        """Returns the refusal of what the server's own limit has no room for.
+    def _limit_refusal(self) -> outcomes.Answer:
+        """Returns the refusal of a request beyond the server's rate limit.
 
-        It says how long a router should stay away.
+        It carries the time for which a router should avoid the server.
         """
         return outcomes.not_run(
             outcomes.Reason.LIMITED, self._rate.record_refusal()
@@ -196,7 +199,7 @@
         limited = self._rate.per_s is not None
         while self._heap and self.in_use < limit:
             _, _, waiting = self._heap[0]
-            if waiting.gone:
+            if waiting.removed:
                 heapq.heappop(self._heap)
                 continue
             if limited and not self._rate.take(now_s):
@@ -205,7 +208,7 @@
             del self._by_id[waiting.item_id]
             self.in_use += 1
             if not limited:
-                self._waited(now_s - waiting.arrived_s)
+                self._record_wait(now_s - waiting.arrived_s)
             started.append(waiting.item_id)
         return tuple(started)
 
@@ -214,7 +217,7 @@
         self._counted_s = now_s
 
     def _busy_share(self, now_s: float) -> float:
-        """Returns the share of slots in use since the last question."""
+        """Returns the share of slots in use since the previous call."""
         self._count_busy(now_s)
         elapsed_s = max(1e-6, now_s - self._window_begin_s)
         share = self._busy_slot_s / elapsed_s / self._limit.current(now_s)
@@ -222,29 +225,30 @@
         self._window_begin_s = now_s
         return share
 
-    def _give_up(self, now_s: float) -> tuple[Refusal, ...]:
-        late = [w for w in self._by_id.values() if w.give_up_s <= now_s]
-        return tuple(self._refuse(waiting) for waiting in late)
+    def _refuse_expired(self, now_s: float) -> tuple[Refusal, ...]:
+        expired = [w for w in self._by_id.values() if w.expires_s <= now_s]
+        return tuple(self._refuse(waiting) for waiting in expired)
 
     def _trim(self, now_s: float) -> tuple[Refusal, ...]:
         limit = self._limit.current(now_s)
-        useful = int(limit * self._policy.queue_s / max(self._service_s, 1e-3))
-        excess = len(self._by_id) - max(_MIN_QUEUE, useful)
+        bound = int(limit * self._policy.queue_s / max(self._service_s, 1e-3))
+        excess = len(self._by_id) - max(_MIN_QUEUE, bound)
         if excess <= 0:
             return ()
-        # What may wait longer is not dropped for being many.
-        droppable = [w for w in self._by_id.values() if not w.patient]
-        worst = heapq.nlargest(
+        # Requests with a longer wait limit are not dropped for queue length.
+        droppable = [w for w in self._by_id.values() if not w.long_wait]
+        last = heapq.nlargest(
             excess, droppable, key=lambda w: (w.order, w.arrived_s)
         )
-        return tuple(self._refuse(waiting) for waiting in worst)
+        return tuple(self._refuse(waiting) for waiting in last)
 
     def _refuse(self, waiting: _Waiting) -> Refusal:
         del self._by_id[waiting.item_id]
-        waiting.gone = True
+        waiting.removed = True
         if self._rate.per_s is not None:
-            # What a queue for slots tells of pressure, this one does not.
-            return Refusal(waiting.item_id, self._limited())
-        self._dropped(waiting.priority)
+            # Requests in this queue wait for tokens, not for slots, so a drop
+            # is no sign of pressure on the slots.
+            return Refusal(waiting.item_id, self._limit_refusal())
+        self._record_dropped(waiting.priority)
         answer = outcomes.not_run(outcomes.Reason.OVERLOAD, RETRY_AFTER_S)
         return Refusal(waiting.item_id, answer)
