--- a/packages/burdockfront/src/burdockfront/retries.py
+++ b/packages/burdockfront/src/burdockfront/retries.py
@@ -1,7 +1,8 @@
-"""Who may try again: the kinds of retry policy.
+"""Kinds of retry policy, which decide whether a call is retried.
 
-`chain` is the product; `hop` and `layers` are what many systems do today and
-stand here as baselines, so that one run can compare them by policy alone.
+`chain` is the kind for production use. `hop` and `layers` reproduce common
+practice and serve as baselines that can be compared by changing the policy
+alone.
 """
 
 from typing import Protocol
@@ -14,13 +15,13 @@
 
 
 class RetryKind(Protocol):
-    """Decides on one retry of one call.
+    """Decides whether a call may be retried.
 
     Attributes:
-        retries_errors: Whether an error that a backend server itself
-            answered is a reason to ask again.
+        retries_errors: Whether an error answer of the backend server itself
+            is retried.
         retries_refusals: Whether a refusal is retried like a lost answer,
-            rather than rerouted within a bound of its own.
+            instead of being rerouted within a separate limit.
     """
 
     retries_errors: bool
@@ -35,12 +36,21 @@
         now_s: float,
         priority: int,
     ) -> bool:
-        """Takes what a retry costs, or returns False."""
+        """Takes the cost of a retry; returns False if it is not permitted.
+
+        Args:
+            pool: Allowance that the retry is charged to.
+            ratio: Retry ratio of the node.
+            hop_retries: Retries of the call so far.
+            rules: Parameters of the retry policy.
+            now_s: The current time.
+            priority: Priority number of the request.
+        """
 
 
 @KINDS.register("chain")
 class ChainRetries:
-    """One allowance for the whole tree, and a ratio for the whole node."""
+    """An allowance for the whole call tree and a ratio for the whole node."""
 
     retries_errors = False
     retries_refusals = False
@@ -54,7 +64,7 @@
         now_s: float,
         priority: int,
     ) -> bool:
-        """Spends a unit that no other retry of this request can spend."""
+        """Takes a unit of the allowance and a token of the ratio."""
         if pool.units == 0 or not ratio.retry(now_s, priority):
             return False
         return pool.spend()
@@ -62,7 +72,7 @@
 
 @KINDS.register("hop")
 class HopRetries:
-    """Baseline: each hop on its own, within a ratio."""
+    """Baseline: a retry limit per hop, within the ratio of the node."""
 
     retries_errors = True
     retries_refusals = True
@@ -76,13 +86,13 @@
         now_s: float,
         priority: int,
     ) -> bool:
-        """Counts retries of this hop only."""
+        """Counts the retries of this hop only."""
         return hop_retries < rules.allowance and ratio.retry(now_s)
 
 
 @KINDS.register("layers")
 class LayerRetries:
-    """Baseline: each layer on its own, unbounded by anything else."""
+    """Baseline: a retry limit per layer, without any other bound."""
 
     retries_errors = True
     retries_refusals = True
@@ -96,5 +106,5 @@
         now_s: float,
         priority: int,
     ) -> bool:
-        """Counts retries of this hop only."""
+        """Counts the retries of this hop only."""
         return hop_retries < rules.allowance
