--- a/tests/unit/test_flow_level.py
+++ b/tests/unit/test_flow_level.py
@@ -1,8 +1,8 @@
-"""The level of a deep guard, in a closed loop with its delay.
+"""Tests of the flow level of a deep guard, in a closed loop with a delay.
 
-The pattern is an evening wave at a deep service: demand of browsing at 1.2 to
-2.5 times what is left beside confirmations, and a delay of two windows between
-a refusal at the entry and its effect, as four layers cause it.
+The load is that of an evening peak at a deep service: browsing demands 1.2 to
+2.5 times the capacity that confirmations leave, and a refusal at the entry
+takes effect two windows later, as with four layers.
 """
 
 import collections
@@ -22,73 +22,75 @@
 
 
 class _Loop:
-    """Calls per window that follow the level of two windows ago."""
+    """Control loop in which arrivals follow the level of two windows ago."""
 
     def __init__(self, seed: int):
         self.control = flow_level.FlowControl(_WINDOW_S, 0.0)
         self._rng = random.Random(seed)
-        self._told = collections.deque(
+        self._levels = collections.deque(
             [levels.OPEN] * _DELAY_WINDOWS, maxlen=_DELAY_WINDOWS
         )
         self._now_s = 0.0
 
-    def window(self, browse_share: float) -> float:
-        """Plays one window; returns the flow that arrived, per slot."""
-        level = self._told[0]
-        self._told.append(self.control.level)
+    def run_window(self, browse_share: float) -> float:
+        """Simulates a window; returns the arrivals relative to capacity."""
+        level = self._levels[0]
+        self._levels.append(self.control.level)
         capacity = _SLOTS * _WINDOW_S / _WORK_S
-        arrived = 0
+        arrivals = 0
         for _ in range(int(capacity * _CONFIRM_SHARE)):
             self.control.record_arrival(100, _WORK_S)
-            arrived += 1
+            arrivals += 1
         for _ in range(int(capacity * browse_share)):
             priority = 2 * context.ORDINALS + self._rng.randrange(256)
             if priority <= level:
                 self.control.record_arrival(priority, _WORK_S)
-                arrived += 1
+                arrivals += 1
         self._now_s += _WINDOW_S
         self.control.advance(_SLOTS, self._now_s)
-        return arrived / capacity
+        return arrivals / capacity
 
 
 @pytest.mark.parametrize("browse_share", [0.8, 1.2, 2.0])
-def test_flow_settles_near_what_the_slots_can_do(browse_share):
+def test_flow_settles_near_capacity(browse_share):
     loop = _Loop(seed=1)
     for _ in range(16):
-        loop.window(browse_share)
-    flows = [loop.window(browse_share) for _ in range(60)]
-    used = sum(min(1.0, flow) for flow in flows) / len(flows)
-    assert used > 0.92, "no room is left idle"
-    assert sum(flows) / len(flows) < 1.0, "no more is let in than fits"
-    assert max(flows) < 1.4, "no swings between idle and drowned"
+        loop.run_window(browse_share)
+    flows = [loop.run_window(browse_share) for _ in range(60)]
+    utilization = sum(min(1.0, flow) for flow in flows) / len(flows)
+    assert utilization > 0.92, "capacity is used"
+    assert sum(flows) / len(flows) < 1.0, (
+        "no more is admitted than can be served"
+    )
+    assert max(flows) < 1.4, "no oscillation between idle and overloaded"
 
 
 @pytest.mark.parametrize("seed", [5, 6, 7])
-def test_room_is_given_back_soon_after_a_flood(seed):
-    # All callers come back at once after a restart, for some seconds. Then
-    # browsing fits: it adds half of what the slots can do, and confirmations
-    # 0.4. Corrected by what a whole rank usually adds, four times as much, the
-    # level lagged behind for many seconds and refused what there was room for.
+def test_level_recovers_soon_after_a_burst(seed):
+    # After a restart all callers return at once, for some seconds. Then the
+    # demand fits: browsing takes half of the capacity and confirmations 0.4.
+    # Failure: with corrections in units of the default flow of a rank, four
+    # times that of browsing, the level lagged for many seconds and requests
+    # were refused despite free capacity.
     loop = _Loop(seed)
     for _ in range(20):
-        loop.window(0.5)
+        loop.run_window(0.5)
     for _ in range(14):
-        loop.window(2.5)
-    flows = [loop.window(0.5) for _ in range(16)]
+        loop.run_window(2.5)
+    flows = [loop.run_window(0.5) for _ in range(16)]
     assert sum(flows[10:]) / len(flows[10:]) > 0.85
 
 
-def test_confirmations_are_not_refused_while_browsing_can_be():
-    # All of the excess is browsing. On the way down the work that was let in
-    # before still arrives, and must not push the level into the rank of
-    # confirmations.
+def test_confirmations_are_admitted_while_browsing_causes_the_excess():
+    # All of the excess is browsing. While the level falls, work admitted before
+    # still arrives and must not push the level into the rank of confirmations.
     loop = _Loop(seed=2)
     for _ in range(60):
-        loop.window(2.0)
+        loop.run_window(2.0)
         assert loop.control.level >= context.ORDINALS
 
 
-def test_confirmations_are_refused_when_they_alone_are_too_many():
+def test_confirmations_are_refused_when_they_alone_exceed_capacity():
     control = flow_level.FlowControl(_WINDOW_S, 0.0)
     for number in range(60):
         for _ in range(200):
@@ -97,13 +99,13 @@
     assert control.level < context.ORDINALS
 
 
-def test_level_opens_within_seconds_of_the_end():
+def test_level_opens_within_seconds_after_an_overload():
     loop = _Loop(seed=3)
     for _ in range(40):
-        loop.window(2.0)
+        loop.run_window(2.0)
     windows = 0
     while loop.control.level < levels.OPEN:
-        loop.window(0.1)
+        loop.run_window(0.1)
         windows += 1
     assert windows * _WINDOW_S <= 3.0
 
@@ -111,19 +113,19 @@
 def test_level_is_open_without_pressure():
     loop = _Loop(seed=4)
     for _ in range(40):
-        loop.window(0.4)
+        loop.run_window(0.4)
     assert loop.control.level == levels.OPEN
 
 
 @pytest.mark.parametrize("seed", [8, 9, 10])
-def test_overload_is_met_within_its_first_second(seed):
-    # Demand doubles in one moment. The level entered at the border above the
-    # lowest class and stood there for a second, as it does at borders between
-    # classes, though nobody is above it: for that long everything was let in,
-    # and its calls died in the deep service.
+def test_level_reacts_within_the_first_second_of_an_overload(seed):
+    # Demand doubles at once. Failure: the level started at the boundary above
+    # the lowest class and paused there for a second, as at boundaries between
+    # classes, although no class is above it. For that second all requests were
+    # admitted, and their calls failed in the deep service.
     loop = _Loop(seed)
     for _ in range(8):
-        loop.window(0.4)
+        loop.run_window(0.4)
     for _ in range(4):
-        loop.window(2.0)
+        loop.run_window(2.0)
     assert loop.control.level < 2.75 * context.ORDINALS
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -1,4 +1,4 @@
-"""Admission, levels, limits and routing: decisions under load."""
+"""Tests of admission, levels, limits and routing under load."""
 
 import random
 
@@ -10,9 +10,9 @@
 from tests import builders
 
 
-def test_confirmation_is_served_before_browsing_that_came_first():
-    # Slots are full and browsing waits. A confirmation arrives last and gets
-    # the next slot; first come first served would shed it with the rest.
+def test_confirmation_is_served_before_earlier_browsing():
+    # All slots are in use and browsing is queued. A confirmation that arrives
+    # last gets the next slot; first come first served would shed it as well.
     admission = builders.an_admission(slots=1)
     assert admission.offer("a", builders.a_context(), 0.0).started == ("a",)
     admission.offer("browse", builders.a_context(), 0.01)
@@ -20,7 +20,7 @@
     assert admission.release(0.05, 0.05).started == ("confirm",)
 
 
-def test_work_already_paid_for_goes_before_new_work():
+def test_call_of_upper_layer_goes_before_new_work():
     admission = builders.an_admission(slots=1)
     admission.offer("a", builders.a_context(), 0.0)
     admission.offer("new", builders.a_context(ordinal=0), 0.01)
@@ -28,7 +28,7 @@
     assert admission.release(0.05, 0.05).started == ("deep",)
 
 
-def test_waiting_too_long_is_refused_with_when_to_come_back():
+def test_request_past_its_wait_limit_is_refused_with_retry_delay():
     admission = builders.an_admission(slots=1, queue_s=0.1)
     admission.offer("a", builders.a_context(), 0.0)
     admission.offer("b", builders.a_context(), 0.0)
@@ -38,8 +38,8 @@
 
 
 def test_expired_request_does_not_run():
-    # Its deadline passed while it waited; running it would waste a slot on
-    # an answer that nobody reads.
+    # The deadline passed in the queue. Running the request would waste a slot
+    # on an answer that its caller no longer awaits.
     admission = builders.an_admission(slots=1)
     admission.offer("a", builders.a_context(), 0.0)
     admission.offer("b", builders.a_context(remaining_s=0.05), 0.0)
@@ -48,7 +48,7 @@
     assert [r.item_id for r in step.refused] == ["b"]
 
 
-def test_too_long_a_queue_refuses_its_worst_at_once():
+def test_overlong_queue_refuses_its_last_requests_at_once():
     admission = builders.an_admission(slots=1, queue_s=0.1)
     admission.offer("a", builders.a_context(), 0.0)
     refused = []
@@ -69,7 +69,9 @@
     assert admission.in_use == 0
 
 
-def _pressed(control: levels.LevelControl, windows: int, rank: int) -> None:
+def _apply_pressure(
+    control: levels.LevelControl, windows: int, rank: int
+) -> None:
     for number in range(windows):
         for ordinal in range(0, 256, 16):
             control.record_admitted(256 + ordinal)
@@ -79,43 +81,43 @@
         control.advance(1.0, 4, 0.2 * (number + 1))
 
 
-def test_pressure_refuses_browsing_in_advance_but_no_confirmation():
+def test_pressure_closes_browsing_but_not_confirmations():
     control = levels.LevelControl(0.05, 0.2, 0.0)
-    _pressed(control, 20, rank=1)
+    _apply_pressure(control, 20, rank=1)
     assert control.level == context_lib.ORDINALS
 
 
-def test_confirmations_are_refused_in_advance_once_they_are_dropped():
+def test_dropped_confirmations_lower_the_level_into_their_rank():
     control = levels.LevelControl(0.05, 0.2, 0.0)
-    _pressed(control, 20, rank=0)
+    _apply_pressure(control, 20, rank=0)
     assert 0 < control.level < context_lib.ORDINALS
 
 
 def test_level_opens_within_two_seconds_of_idle_slots():
     control = levels.LevelControl(0.05, 0.2, 0.0)
-    _pressed(control, 20, rank=0)
+    _apply_pressure(control, 20, rank=0)
     for window in range(10):
         control.advance(0.4, 4, 10 + 0.2 * window)
     assert control.level == levels.OPEN
 
 
-def test_level_stands_while_slots_are_busy_without_pressure():
+def test_level_is_stable_with_busy_slots_and_no_pressure():
     control = levels.LevelControl(0.05, 0.2, 0.0)
-    _pressed(control, 3, rank=1)
+    _apply_pressure(control, 3, rank=1)
     before = control.level
     for window in range(5):
         control.advance(0.97, 4, 10 + 0.2 * window)
     assert control.level == before
 
 
-def test_level_heard_fades_without_news():
+def test_received_level_relaxes_without_updates():
     book = levels.LevelTracker()
     book.observe("fees", "browse", 100, 0.0)
     assert book.level_of("fees", "browse", 0.1) == 100
     assert book.level_of("fees", "browse", 9.0) == levels.OPEN
 
 
-def test_path_level_is_the_lowest_below():
+def test_path_level_is_the_lowest_of_called_services():
     book = levels.LevelTracker()
     book.record_call("browse", "fees", 0.0)
     book.record_call("browse", "timetable", 0.0)
@@ -124,9 +126,9 @@
     assert book.path_level("browse", 0.1) == 300
 
 
-def test_backend_that_sheds_below_its_slots_gets_less():
-    # It announced 40 slots and serves 8: the announcement lies, its own
-    # refusals don't.
+def test_shedding_below_announced_slots_lowers_the_limit():
+    # The server announced 40 slots and serves 8. Its own refusals are more
+    # reliable than its announcement.
     limit = limits.ConcurrencyLimit(40, 0.0, 0.0)
     limit.shed_by_backend(8, 1.0)
     assert limit.current(1.1) == 7
@@ -150,9 +152,10 @@
     return {target.node_id for target in found if target is not None}
 
 
-def test_silent_guard_is_ejected_and_probed_back():
-    # Three calls in a row stay without an answer: it is frozen, or the way to
-    # it is. Calls go elsewhere; one probe at a time finds out when it is back.
+def test_unresponsive_guard_is_ejected_and_probed():
+    # Three calls in a row get no answer, because the guard is frozen or the
+    # network to it is interrupted. Calls go to other guards, and one probe at
+    # a time detects when it recovers.
     router = _router("a", "b", "c")
     for _ in range(3):
         router.sent("a")
@@ -177,14 +180,14 @@
     assert _choices(router, 2.0) == {"b"}
 
 
-def test_told_load_moves_calls_but_never_all_of_them_by_stale_word():
+def test_reported_load_moves_calls_only_while_it_is_fresh():
     router = _router("a", "b")
     router.answered("a", 5.0, False, 1.0)
     assert _choices(router, 1.1) == {"b"}
     assert _choices(router, 3.0) == {"a", "b"}
 
 
-def test_new_incarnation_starts_with_a_clean_slate():
+def test_new_incarnation_is_not_ejected():
     router = _router("a", "b", "c")
     router.unanswered("a", True, 1.0)
     router.update(
@@ -193,18 +196,19 @@
     assert router.ejected() == []
 
 
-def test_changed_ramp_does_not_cool_a_warm_backend():
-    # A policy change reached a guard a second after its (warm) backend server
-    # had announced itself. The ramp of the new policy was applied from the
-    # announcement on: one slot of four was left, and callers were refused.
+def test_changed_ramp_does_not_apply_to_a_warm_backend():
+    # Failure: a policy change reached a guard a second after its warm backend
+    # server had announced itself. The ramp of the new policy was applied from
+    # the announcement on, which left one slot of four, and callers were
+    # refused.
     limit = limits.ConcurrencyLimit(40, 3.0, 0.0)
     limit.set_ramp(5.0)
     assert limit.current(1.0) == 40
 
 
-def test_frozen_backend_is_told_from_a_slow_one():
-    # A slow one ends requests now and then; a frozen one ends none. Only the
-    # frozen one's guard may send callers elsewhere for it.
+def test_frozen_backend_is_distinguished_from_a_slow_one():
+    # A slow server ends requests now and then; a frozen one ends none. Only
+    # the guard of a frozen server may send callers to other servers.
     slow, frozen = (
         stall_detection.StallDetector(),
         stall_detection.StallDetector(),
@@ -219,7 +223,7 @@
     assert not frozen.check(5.1)
 
 
-def test_stalled_backend_is_tried_again_after_it_announced_itself():
+def test_stalled_backend_gets_requests_after_an_announcement():
     detector = stall_detection.StallDetector()
     detector.on_sent(0.0)
     assert detector.check(1.0)
@@ -229,7 +233,7 @@
     assert not detector.check(2.1)
 
 
-def test_suspected_guard_gets_no_work_while_others_are_there():
+def test_suspected_guard_gets_no_work_while_others_are_available():
     router = routing.Router("dc1", random.Random(7))
     router.update(
         [builders.a_target("a", suspect=True), builders.a_target("b")]
@@ -238,8 +242,8 @@
 
 
 def test_overdue_calls_eject_before_their_deadline():
-    # A confirmation waits its whole deadline for its owner. If only its end
-    # counted, a frozen owner would be given confirmations for seconds.
+    # A confirmation may wait for its owner until its deadline. If only the
+    # timeout counted, a frozen owner would get confirmations for seconds.
     router = _router("a", "b", "c")
     for _ in range(3):
         router.sent("a")
@@ -247,10 +251,10 @@
     assert router.ejected() == ["a"]
 
 
-def test_probe_that_was_never_sent_is_made_again():
-    # An ejected guard was chosen for a probe, but the call was refused early
-    # (or a ticket was minted and never used). Waiting for its answer for
-    # ever, the router would never use that guard again.
+def test_probe_that_was_never_sent_is_repeated():
+    # An ejected guard was chosen for a probe, but the call was refused early,
+    # or a ticket was minted and never used. A router that waited for the
+    # answer without a limit would never use that guard again.
     router = _router("a", "b", "c")
     router.unanswered("a", True, 1.0)
     assert _choices(router, 3.0, count=1) == {"a"}
--- a/tests/unit/test_slot_claims.py
+++ b/tests/unit/test_slot_claims.py
@@ -1,4 +1,4 @@
-"""A backend server that claims more and more slots is believed on proof."""
+"""Tests of the verification of a backend server's claim of more slots."""
 
 import random
 
@@ -13,9 +13,10 @@
 def _serve(
     claims: slot_claims.SlotClaims, true_slots: int, requests: int, seed: int
 ) -> None:
-    """Ends requests of a server that is fully used all the time.
+    """Completes requests of a server that is fully utilized all the time.
 
-    With more in its hands than it has slots, each takes longer in proportion.
+    With more requests in flight than the server has slots, each request takes
+    proportionally longer.
     """
     rng = random.Random(seed)
     now_s = 0.0
@@ -28,10 +29,11 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_claimed_slots_that_are_not_there_are_not_used(seed):
-    # Confirmations time out though their guard sheds nothing: the server
-    # announced 4 slots, then 40, and queues the other 36 inside itself, first
-    # come first served. One trial at a time may find that out, not all 36.
+def test_claimed_slots_that_do_not_exist_are_not_used(seed):
+    # Failure: confirmations time out although their guard sheds nothing. The
+    # server announced 4 slots, then 40, and queues the other 36 requests
+    # internally, first come first served. One trial step at a time may use
+    # slots that do not exist, but not all 36.
     claims = slot_claims.SlotClaims(4)
     claims.claim(40)
     assert claims.accepted == 4
@@ -40,20 +42,20 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_claimed_slots_that_are_there_come_into_use(seed):
+def test_claimed_slots_that_exist_come_into_use(seed):
     claims = slot_claims.SlotClaims(4)
     claims.claim(16)
     _serve(claims, true_slots=16, requests=20_000, seed=seed)
     assert claims.accepted >= 13
 
 
-def test_smaller_claim_is_believed_at_once():
+def test_smaller_claim_is_accepted_at_once():
     claims = slot_claims.SlotClaims(8)
     claims.claim(3)
     assert claims.accepted == 3
 
 
-def test_server_that_is_not_fully_used_proves_nothing():
+def test_requests_below_full_utilization_are_no_evidence():
     claims = slot_claims.SlotClaims(4)
     claims.claim(40)
     for number in range(2000):
@@ -61,9 +63,9 @@
     assert claims.accepted == 4
 
 
-def test_quick_refusals_are_no_proof():
-    # The server sheds what its claim promised. Its refusals take no time, and
-    # taken for service they would prove any number of slots.
+def test_quick_refusals_are_no_evidence():
+    # The server sheds requests within its claimed slots. Its refusals take no
+    # time; counted as service times they would confirm any number of slots.
     claims = slot_claims.SlotClaims(4)
     claims.claim(40)
     _serve(claims, true_slots=4, requests=104, seed=1)
@@ -72,8 +74,8 @@
     assert claims.accepted == 4
 
 
-def test_server_that_sheds_during_a_trial_ends_it():
-    # As above, from the guard's limit, which is told of the shed.
+def test_shedding_during_a_trial_ends_it():
+    # The same through the guard's limit, which reports the shed request.
     limit = limits.ConcurrencyLimit(4, 0.0, 0.0)
     limit.announce(40, False, 0.0)
     for number in range(104):
@@ -83,9 +85,8 @@
     assert limit.slots == 4
 
 
-def test_limit_follows_what_is_believed_not_what_is_claimed():
-    # As above, seen from the guard's limit. Before, the limit rose to 40 with
-    # the announcement.
+def test_limit_follows_accepted_not_claimed_slots():
+    # Failure: the limit rose to 40 with the announcement.
     limit = limits.ConcurrencyLimit(4, 0.0, 0.0)
     limit.announce(40, False, 1.0)
     assert limit.current(1.1) == 4
