--- a/tests/unit/test_retry_ratio.py
+++ b/tests/unit/test_retry_ratio.py
@@ -1,4 +1,4 @@
-"""The part of a common bound on retries that each node takes."""
+"""Tests of each node's part of the common bound on retries."""
 
 import random
 
@@ -8,42 +8,42 @@
 _NODES = 75
 
 
-def _spend_all(ratio: allowance.RetryRatio) -> int:
-    spent = 0
+def _use_all(ratio: allowance.RetryRatio) -> int:
+    used = 0
     while ratio.retry(0.0):
-        spent += 1
-    return spent
+        used += 1
+    return used
 
 
-def test_nodes_that_start_at_once_spend_no_more_than_all_may():
-    # Each node starts before it knows the others and assumes that they are
-    # few. Then a store of answers is lost at once. Without the cut each of
-    # them would spend the part of one among sixteen.
+def test_nodes_that_start_at_once_stay_within_the_common_bound():
+    # Each node starts before it knows its peers and assumes that there are few
+    # of them. Then a store of answers is lost at once. Without the cut each
+    # node would use the part of one node among sixteen.
     ratios = [allowance.RetryRatio(0.1, _SLACK / 2 / 16) for _ in range(_NODES)]
     for ratio in ratios:
         ratio.set_burst(_SLACK / 2 / _NODES)
-    assert sum(_spend_all(ratio) for ratio in ratios) <= _SLACK
+    assert sum(_use_all(ratio) for ratio in ratios) <= _SLACK
 
 
-def test_part_below_one_still_lets_earned_retries_through():
+def test_burst_below_one_still_permits_earned_retries():
     ratio = allowance.RetryRatio(0.1, 0.5)
     assert not ratio.retry(0.0)
     for _ in range(10):
         ratio.first_try(0.0)
-    assert _spend_all(ratio) == 1
+    assert _use_all(ratio) == 1
 
 
-def test_larger_part_is_not_spent_twice():
+def test_larger_burst_adds_no_tokens():
     ratio = allowance.RetryRatio(0.1, 2.0)
-    assert _spend_all(ratio) == 2
+    assert _use_all(ratio) == 2
     ratio.set_burst(5.0)
     assert not ratio.retry(0.0)
 
 
-def test_repeats_of_upper_layers_are_paid_from_the_same_ratio():
+def test_repeats_of_upper_layers_cost_tokens():
     # A middle layer repeats one request in five. Each of those makes its calls
-    # again, which are repeats where they arrive: with a ratio in each layer
-    # for itself, the deepest one would get two times what is allowed.
+    # again, which are repeats for the called service. With an independent ratio
+    # in each layer, the deepest one would get twice the permitted repeats.
     ratio = allowance.RetryRatio(0.2, 1.0)
     retries = 0
     repeats = 0
@@ -61,7 +61,7 @@
     priority: int,
     now_s: float,
 ) -> bool:
-    """Whether a call of a service that refuses half gets through."""
+    """Whether a call succeeds at a service that refuses half of its calls."""
     ratio.first_try(now_s)
     for _ in range(7):
         if rng.random() < 0.5:
@@ -71,27 +71,29 @@
     return False
 
 
-def test_scarce_retries_go_wholly_to_the_most_important_requests():
-    # A service refuses half of everything for some seconds, and each request
-    # makes four calls of it, 200 requests a second. Given to whoever asks
-    # first, the retries are spread over all, and of four calls one fails all
-    # the same: ten in a hundred get through whole.
+def test_scarce_retries_go_to_the_most_important_requests():
+    # A service refuses half of its calls for some seconds, and each of 200
+    # requests per second makes four calls of it. Granted first come first
+    # served, the retries are spread over all requests, and most requests still
+    # have a failed call: ten in a hundred succeed.
     rng = random.Random(7)
     ratio = allowance.RetryRatio(0.2, 2.0)
-    urgent_whole = 0
-    others_whole = 0
+    urgent_succeeded = 0
+    others_succeeded = 0
     for number in range(2000):
         urgent = number % 10 == 0
         priority = rng.randrange(256) + (0 if urgent else 512)
         now_s = number / 200
-        whole = all(_succeeds(rng, ratio, priority, now_s) for _ in range(4))
-        urgent_whole += whole and urgent
-        others_whole += whole and not urgent
-    assert urgent_whole > 0.7 * 200
-    assert others_whole < 0.2 * 1800
+        succeeded = all(
+            _succeeds(rng, ratio, priority, now_s) for _ in range(4)
+        )
+        urgent_succeeded += succeeded and urgent
+        others_succeeded += succeeded and not urgent
+    assert urgent_succeeded > 0.7 * 200
+    assert others_succeeded < 0.2 * 1800
 
 
-def test_level_opens_again_once_nobody_needs_retries():
+def test_level_opens_again_without_demand_for_retries():
     ratio = allowance.RetryRatio(0.2, 2.0)
     for _ in range(500):
         ratio.retry(0.0, priority=600)
@@ -101,9 +103,9 @@
     assert ratio.retry(4.0, priority=600)
 
 
-def test_retries_earned_in_a_busy_time_are_not_kept_for_a_quiet_one():
-    # All nodes are killed and clients come back slowly. What the busy seconds
-    # before had earned must not be spent in a window that earned nothing.
+def test_retries_earned_in_a_busy_time_expire():
+    # All nodes are killed and clients return slowly. Tokens earned in the busy
+    # seconds before must not be used in a window that earned none.
     ratio = allowance.RetryRatio(0.2, 2.0)
     for number in range(5000):
         ratio.first_try(number / 1000)
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -1,4 +1,4 @@
-"""What nodes remember and tell each other of backend servers' own words."""
+"""Tests of how nodes keep and exchange self reports of backend servers."""
 
 import time
 
@@ -23,10 +23,10 @@
 
 
 @pytest.mark.parametrize("report", [_LIMITED, _LEAVING])
-def test_report_travels_with_a_call_and_with_an_answer(report):
+def test_report_is_encoded_in_calls_and_answers(report):
     described = wire.encode_call(7, wire.Mark(True, "shop", "fees"), "", report)
-    told = wire.read_call([(wire.CALL, described), ("host", "shop")])
-    assert told.report == report
+    received = wire.read_call([(wire.CALL, described), ("host", "shop")])
+    assert received.report == report
     answer = builders.an_answer()
     answer.report = report
     described = wire.encode_answer(answer, "a", 7)
@@ -34,7 +34,7 @@
     assert read.report == report
 
 
-def test_nothing_is_added_to_calls_and_answers_while_nothing_is_said():
+def test_calls_and_answers_without_a_report_carry_no_extra_fields():
     assert len(wire.encode_call(7, wire.Mark(), "")) < 20
     described = wire.encode_answer(builders.an_answer(), "a", 7)
     read, _ = wire.decode_answer(described, "a", 200, (), b"")
@@ -56,21 +56,23 @@
         ["i-1", None, False, True],
     ],
 )
-def test_strange_report_is_refused_with_what_was_expected(parts):
+def test_invalid_report_is_rejected_with_the_expected_form(parts):
     with pytest.raises(errors.InvalidInputError, match="leaving, limit"):
         self_reports.from_parts(parts)
 
 
-def test_guard_that_begins_anew_holds_the_limit_from_the_first_call_on():
+def test_restarted_guard_applies_the_limit_from_the_first_call():
     beliefs = _new_process()
     beliefs.told(_LIMITED)
-    assert beliefs.rate.per_s is None, "it does not know yet who is in service"
+    assert beliefs.rate.per_s is None, (
+        "the incarnation in service is not known yet"
+    )
     beliefs.in_service(_FIRST)
     assert beliefs.rate.per_s == 6.5
-    assert not beliefs.rate.take(time.monotonic()), "the bucket begins empty"
+    assert not beliefs.rate.take(time.monotonic()), "the bucket starts empty"
 
 
-def test_word_of_another_node_on_an_earlier_start_binds_nobody():
+def test_report_from_a_node_on_an_earlier_incarnation_is_ignored():
     beliefs = _new_process()
     beliefs.in_service(_NEXT)
     beliefs.told(_LIMITED)
@@ -78,7 +80,7 @@
     assert beliefs.report_to(_LIMITED) == self_reports.SelfReport(_NEXT)
 
 
-def test_what_the_backend_server_answers_goes_before_what_others_remember():
+def test_answer_of_the_backend_server_overrides_reports_of_nodes():
     beliefs = _new_process()
     beliefs.in_service(_FIRST)
     beliefs.answered(self_reports.NO_NOTICE, _FIRST, 0.0)
@@ -87,7 +89,7 @@
     assert beliefs.report_to(_LIMITED) == self_reports.SelfReport(_FIRST)
 
 
-def test_limit_told_by_a_node_ends_with_the_first_answer_that_names_none():
+def test_limit_from_a_node_ends_with_the_first_answer_without_one():
     beliefs = _new_process()
     beliefs.in_service(_FIRST)
     handed_s = time.monotonic() - 1.0
@@ -96,29 +98,29 @@
     assert beliefs.rate.per_s is None
 
 
-def test_router_forgets_a_limit_when_the_guard_says_that_it_ended():
-    heard = self_reports.ReceivedReports()
-    heard.record("n1", _LIMITED, True)
-    heard.record("n2", _LIMITED, True)
-    heard.record("n1", self_reports.SelfReport(_FIRST), False)
-    assert list(heard.by_node) == ["n2"]
+def test_router_removes_a_limit_when_the_guard_reports_its_end():
+    reports = self_reports.ReceivedReports()
+    reports.record("n1", _LIMITED, True)
+    reports.record("n2", _LIMITED, True)
+    reports.record("n1", self_reports.SelfReport(_FIRST), False)
+    assert list(reports.by_node) == ["n2"]
 
 
-def test_router_forgets_that_a_server_left_when_its_successor_answers():
-    # A guard that begins anew may take a late heartbeat for the server; its
-    # word alone must not bring requests to the one that leaves.
-    heard = self_reports.ReceivedReports()
-    heard.record("n1", _LEAVING, True)
-    heard.record("n1", self_reports.SelfReport(_FIRST), True)
-    assert heard.by_node["n1"].leaving, "it does not take that back"
-    heard.record("n1", self_reports.SelfReport(_NEXT), False)
-    assert heard.by_node["n1"].start == _FIRST
-    heard.record("n1", self_reports.SelfReport(_NEXT), True)
-    assert not heard.by_node
+def test_leaving_is_cleared_only_when_the_successor_answers():
+    # A guard that restarts may take a late heartbeat for the server in
+    # service; its report alone must not route requests to a leaving server.
+    reports = self_reports.ReceivedReports()
+    reports.record("n1", _LEAVING, True)
+    reports.record("n1", self_reports.SelfReport(_FIRST), True)
+    assert reports.by_node["n1"].leaving, "leaving can not be revoked"
+    reports.record("n1", self_reports.SelfReport(_NEXT), False)
+    assert reports.by_node["n1"].start == _FIRST
+    reports.record("n1", self_reports.SelfReport(_NEXT), True)
+    assert not reports.by_node
 
 
-def test_router_remembers_a_bounded_number_of_guards():
-    heard = self_reports.ReceivedReports()
+def test_number_of_kept_reports_is_bounded():
+    reports = self_reports.ReceivedReports()
     for number in range(5000):
-        heard.record(f"n{number}", _LIMITED, True)
-    assert len(heard.by_node) <= 1024
+        reports.record(f"n{number}", _LIMITED, True)
+    assert len(reports.by_node) <= 1024
