--- a/tests/builders.py
+++ b/tests/builders.py
@@ -147,7 +147,7 @@
     return accounts.Account(name, digests, **changes)
 
 
-def a_beat(
+def a_heartbeat(
     instance_id: str = "i-1",
     sequence: int = 1,
     leaving: bool = False,
