--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data: small, composable, with telling defaults."""
+"""Builders of test data: small and composable, with meaningful defaults."""
 
 import random
 import time
--- a/tests/properties/test_admission.py
+++ b/tests/properties/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission under any load: slots, order, and an answer for everybody."""
+"""Property tests of admission: slots, order, and an answer to each request."""
 
 import hypothesis
 from hypothesis import stateful
@@ -10,7 +10,7 @@
 
 
 class Admission(stateful.RuleBasedStateMachine):
-    """One guard; the oracle is the set of requests without an answer."""
+    """One guard; the model is the set of requests without an answer."""
 
     def __init__(self):
         super().__init__()
@@ -79,7 +79,7 @@
     def teardown(self):
         self.now_s += 10.0
         self._follow(self.admission.advance(self.now_s))
-        assert not self.waiting, "somebody never got an answer"
+        assert not self.waiting, "a request never got an answer"
 
 
 TestAdmission = Admission.TestCase
@@ -99,8 +99,8 @@
 )
 @hypothesis.settings(deadline=None, derandomize=True, max_examples=60)
 def test_two_layers_keep_the_same_requests(requests):
-    # If each layer chose on its own, a request that survived the first would
-    # die in the second, and its work in the first would be wasted.
+    # If each layer chose independently, a request admitted by the first layer
+    # would be refused by the second, and its work in the first be wasted.
     kept = []
     for _ in range(2):
         admission = builders.an_admission(slots=1)
--- a/tests/properties/test_allowance.py
+++ b/tests/properties/test_allowance.py
@@ -1,8 +1,8 @@
-"""The retry allowance over a call tree, against a count of all retries.
+"""Property tests of the retry allowance and the retry ratio.
 
-Calls branch, run in parallel, answers come late, twice or never. Whatever
-happens, the number of retries in the whole tree is at most what the entry
-minted.
+In the call tree, calls branch and run in parallel, and answers arrive late,
+twice or never. The number of retries in the whole tree must not exceed the
+number of units that the entry minted.
 """
 
 import hypothesis
@@ -15,7 +15,7 @@
 
 
 class CallTree(stateful.RuleBasedStateMachine):
-    """Pools of attempts; each attempt knows who lent to it."""
+    """Pools of attempts, with the attempt that lent units to each of them."""
 
     def __init__(self):
         super().__init__()
@@ -53,7 +53,7 @@
 
     @stateful.rule(index=strategies.integers(0, 20))
     def answer_arrives(self, index):
-        # Kept in the list: it may arrive a second time.
+        # The answer stays in the list, as it may arrive a second time.
         if self.answers:
             name, parent, units = self.answers[index % len(self.answers)]
             if parent in self.pools:
@@ -129,8 +129,8 @@
 )
 @hypothesis.settings(deadline=None, derandomize=True, max_examples=60)
 def test_retries_of_all_nodes_are_bounded_in_every_window(seconds):
-    # Load rises and falls at will, and as many retries are wanted as there
-    # may be. Tokens of a busy second must not be spent in a quiet window.
+    # Load rises and falls arbitrarily, and the demand for retries is at its
+    # highest. Tokens of a busy second must not be used in a quiet window.
     ratios = [
         allowance.RetryRatio(0.9 * _SHARE, _SLACK / 2 / _NODES)
         for _ in range(_NODES)
--- a/tests/properties/test_retry_budget.py
+++ b/tests/properties/test_retry_budget.py
@@ -1,10 +1,11 @@
-"""Retries of all nodes together stay within what operators allow.
-
-Operators allow a share of the requests and a fixed number, in any ten seconds;
-the share counts the requests of that time, of the one before it, or of the one
-half of it before, whichever has most. Nodes know nothing of each other but how
-many there are. Storms begin and end at any moment, requests go to few or to all
-nodes, and some of them are themselves repeats from above.
+"""Property test: the retries of all nodes together stay within the bound.
+
+In any window of ten seconds, operators allow a share of the requests plus a
+fixed number. The share refers to the requests in that window, in the window
+before it, or in the window half a length earlier, whichever is highest. Nodes
+know nothing of each other except their number. Incidents begin and end at any
+moment, requests go to few or to all nodes, and some of the requests are
+themselves repeats by upper layers.
 """
 
 import dataclasses
@@ -17,25 +18,26 @@
 from burdockfront import allowance
 
 _RATIO = 0.2
-# What nodes use of the ratio; see `verdicts`.
+# Share of the ratio that nodes use; see `verdicts`.
 _USED = 0.9
 _WINDOW_S = 10.0
 _STEP_S = 0.25
 _STEPS = int(_WINDOW_S / _STEP_S)
-# Besides the two nodes of a demo: sizes of places, with what each allows.
-_PLACES = ((2, 24.0), (12, 47.0), (75, 106.0), (194, 213.0))
+# Number of nodes and fixed number of retries: a demo with two nodes, and the
+# sizes of deployments.
+_DEPLOYMENTS = ((2, 24.0), (12, 47.0), (75, 106.0), (194, 213.0))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Phase:
-    """Some seconds of a day.
+    """A period of constant load.
 
     Attributes:
-        steps: How long, in steps.
-        per_s: Requests a second, over all nodes.
-        wanted: Retries that each request would make.
-        repeated: Share of requests that are repeats from above.
-        spread: Share of the nodes that get any.
+        steps: Length in steps.
+        per_s: Requests per second, over all nodes.
+        wanted: Retries that each request asks for.
+        repeated: Share of requests that are repeats by upper layers.
+        spread: Share of the nodes that get requests.
     """
 
     steps: int
@@ -51,7 +53,7 @@
 _QUIET = strategies.builds(
     _Phase, strategies.integers(4, 60), strategies.sampled_from([0.0, 4.0])
 )
-_STORM = strategies.builds(
+_INCIDENT = strategies.builds(
     _Phase,
     strategies.integers(4, 60),
     strategies.sampled_from([20.0, 100.0, 400.0]),
@@ -59,13 +61,13 @@
     strategies.sampled_from([0.0, 0.1, 0.5]),
     strategies.sampled_from([0.05, 0.5, 1.0]),
 )
-_PHASES = strategies.lists(_CALM | _QUIET | _STORM, min_size=1, max_size=5)
+_PHASES = strategies.lists(_CALM | _QUIET | _INCIDENT, min_size=1, max_size=5)
 
 
 def _play(
     phases: list[_Phase], nodes: int, slack: float, seed: int
 ) -> tuple[list[int], list[int]]:
-    """Returns first tries and retries, by step."""
+    """Returns the number of first tries and of retries in each step."""
     rng = random.Random(seed)
     burst = slack / 2 / max(16, nodes)
     ratios = [allowance.RetryRatio(_RATIO * _USED, burst) for _ in range(nodes)]
@@ -89,14 +91,14 @@
 
 
 def _sums(values: list[int], steps: int) -> numpy.ndarray:
-    """Returns the sum of each stretch of so many steps, by its end."""
+    """Returns the sum over the last `steps` values, for each index."""
     total = numpy.cumsum([0, *values])
     ends = numpy.arange(1, len(total))
     return total[ends] - total[numpy.maximum(0, ends - steps)]
 
 
 def _shifted(values: numpy.ndarray, steps: int) -> numpy.ndarray:
-    """Returns what each value was some steps before."""
+    """Returns the values delayed by a number of steps."""
     padded = numpy.concatenate([numpy.zeros(steps, int), values])
     return padded[: len(values)]
 
@@ -104,7 +106,7 @@
 @hypothesis.settings(max_examples=60, deadline=None)
 @hypothesis.given(
     phases=_PHASES,
-    place=strategies.sampled_from(_PLACES),
+    place=strategies.sampled_from(_DEPLOYMENTS),
     seed=strategies.integers(0, 2**32),
 )
 def test_retries_of_all_nodes_stay_within_the_share_in_every_window(
