--- a/examples/decisions.py
+++ b/examples/decisions.py
@@ -63,10 +63,10 @@
     job = allowance.AllowancePool(2)
     step = allowance.AllowancePool(job.lend("step"))
     retries = 0
-    while step.spend():
+    while step.use():
         retries += 1
-    job.give_back("step", step.units)
-    while job.spend():
+    job.return_unused("step", step.units)
+    while job.use():
         retries += 1
     return retries
 
--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -122,22 +122,22 @@
                 attempt, target, timeout_s, limit_bytes
             )
         except peers_lib.UnreachableError:
-            call.pool.give_back(attempt_id, attempt.context.allowance)
+            call.pool.return_unused(attempt_id, attempt.context.allowance)
             self._unanswered(call, target, unreachable=True)
             return calls.Sent(calls.Fate.UNREACHED)
         except errors.DispatchError:
-            call.pool.forfeit(attempt_id)
+            call.pool.write_off(attempt_id)
             self._counters.lost += 1
             self._unanswered(call, target, unreachable=False)
             return calls.Sent(calls.Fate.LOST)
         except asyncio.CancelledError:
-            call.pool.forfeit(attempt_id)
+            call.pool.write_off(attempt_id)
             self._router.abandoned(target.node_id)
             raise
         finally:
             if alarm is not None:
                 alarm.cancel()
-        call.pool.give_back(attempt_id, answer.unspent)
+        call.pool.return_unused(attempt_id, answer.unspent)
         now_s = time.monotonic()
         self.feedback.learn(call, target, answer, now_s - started_s, now_s)
         return calls.Sent(calls.Fate.ANSWERED, answer)
--- a/packages/burdockfront/src/burdockfront/allowance.py
+++ b/packages/burdockfront/src/burdockfront/allowance.py
@@ -44,7 +44,7 @@
         self._lent[attempt_id] = share
         return share
 
-    def give_back(self, attempt_id: str, unspent: int) -> None:
+    def return_unused(self, attempt_id: str, unused: int) -> None:
         """Adds the unused units that an answer returned.
 
         At most the lent number is added, so that a faulty or duplicated answer
@@ -52,13 +52,13 @@
         because no units are recorded as lent any more.
         """
         lent = self._lent.pop(attempt_id, 0)
-        self._units += max(0, min(unspent, lent))
+        self._units += max(0, min(unused, lent))
 
-    def forfeit(self, attempt_id: str) -> None:
+    def write_off(self, attempt_id: str) -> None:
         """Writes off the units of a lost answer, which may have been used."""
         self._lent.pop(attempt_id, None)
 
-    def spend(self) -> bool:
+    def use(self) -> bool:
         """Takes one unit for a retry; returns False if the pool is empty."""
         if self._units == 0:
             return False
--- a/packages/burdockfront/src/burdockfront/retries.py
+++ b/packages/burdockfront/src/burdockfront/retries.py
@@ -67,7 +67,7 @@
         """Takes a unit of the allowance and a token of the ratio."""
         if pool.units == 0 or not ratio.retry(now_s, priority):
             return False
-        return pool.spend()
+        return pool.use()
 
 
 @KINDS.register("hop")
--- a/tests/properties/test_allowance.py
+++ b/tests/properties/test_allowance.py
@@ -41,7 +41,7 @@
 
     @stateful.rule(index=strategies.integers(0, 20))
     def retry(self, index):
-        if self.pools[self._pick(index)].spend():
+        if self.pools[self._pick(index)].use():
             self.spent += 1
 
     @stateful.rule(index=strategies.integers(0, 20))
@@ -57,18 +57,18 @@
         if self.answers:
             name, parent, units = self.answers[index % len(self.answers)]
             if parent in self.pools:
-                self.pools[parent].give_back(name, units)
+                self.pools[parent].return_unused(name, units)
 
     @stateful.rule(index=strategies.integers(0, 20))
     def answer_is_given_up(self, index):
         if self.answers:
             name, parent, _ = self.answers[index % len(self.answers)]
             if parent in self.pools:
-                self.pools[parent].forfeit(name)
+                self.pools[parent].write_off(name)
 
     @stateful.rule(index=strategies.integers(0, 20))
     def answer_of_a_stranger_arrives(self, index):
-        self.pools[self._pick(index)].give_back("nobody", 100)
+        self.pools[self._pick(index)].return_unused("nobody", 100)
 
     @stateful.invariant()
     def retries_are_bounded(self):
