--- a/tests/properties/test_allowance.py
+++ b/tests/properties/test_allowance.py
@@ -22,7 +22,7 @@
         self.pools = {"root": allowance.AllowancePool(_MINTED)}
         self.parents = {}
         self.answers = []
-        self.spent = 0
+        self.used = 0
         self.count = 0
 
     def _pick(self, index):
@@ -42,7 +42,7 @@
     @stateful.rule(index=strategies.integers(0, 20))
     def retry(self, index):
         if self.pools[self._pick(index)].use():
-            self.spent += 1
+            self.used += 1
 
     @stateful.rule(index=strategies.integers(0, 20))
     def answer_leaves(self, index):
@@ -72,12 +72,12 @@
 
     @stateful.invariant()
     def retries_are_bounded(self):
-        assert self.spent <= _MINTED
+        assert self.used <= _MINTED
 
     @stateful.invariant()
     def no_unit_is_in_two_places(self):
         held = sum(pool.units for pool in self.pools.values())
-        assert held + self.spent <= _MINTED
+        assert held + self.used <= _MINTED
 
 
 TestCallTree = CallTree.TestCase
