--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -12,8 +12,8 @@
 import random
 
 from burdockfront import detours
+from burdockfront import guard_estimates
 from burdockfront import guards
-from burdockfront import pace
 
 # A guard at 1.0 has all slots in use: the next call waits.
 _PRESSED = 1.0
@@ -44,7 +44,7 @@
 
     def __init__(self, data_center: str, rng: random.Random):
         super().__init__(data_center, rng)
-        self.pace = pace.PaceBook()
+        self.pace = guard_estimates.PaceBook()
         self.ways = detours.HeardDetours()
 
     def forget(self, node_id: str) -> None:
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -2,7 +2,7 @@
 
 import random
 
-from burdockfront import pace
+from burdockfront import guard_estimates
 from burdockfront import routing
 from tests import builders
 
@@ -118,7 +118,7 @@
 
 
 def test_good_answers_of_a_server_that_failed_are_believed():
-    book = pace.PaceBook()
+    book = guard_estimates.PaceBook()
     for _ in range(100):
         book.failed("near", 1.0)
     for _ in range(200):
