--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 
 from burdockfront import context as context_lib
-from burdockfront import detours
 from burdockfront import levels
 from burdockfront import outcomes
 from burdockfront import running
 from burdockfront import starvation
+from burdockfront import transfer_costs
 from burdockfront_client import calls
 
 _SERVER_ERROR = 500
@@ -45,7 +45,7 @@
         self._services = services
         self._origins = starvation.OriginBook()
         self._starvation = starvation.StarvationBook()
-        self._detours = detours.DetourBook(time.monotonic())
+        self._detours = transfer_costs.DetourBook(time.monotonic())
         self._new_work: set[str] = set()
         self._running = running.RunningRequests()
 
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -11,9 +11,9 @@
 import math
 import random
 
-from burdockfront import detours
 from burdockfront import guard_estimates
 from burdockfront import guards
+from burdockfront import transfer_costs
 
 # A guard at 1.0 has all slots in use: the next call waits.
 _PRESSED = 1.0
@@ -45,7 +45,7 @@
     def __init__(self, data_center: str, rng: random.Random):
         super().__init__(data_center, rng)
         self.pace = guard_estimates.PaceBook()
-        self.ways = detours.HeardDetours()
+        self.ways = transfer_costs.HeardDetours()
 
     def forget(self, node_id: str) -> None:
         """Drops what is known of a guard that is gone."""
