--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -11,10 +11,10 @@
 import time
 from collections.abc import Callable
 
+from burdockfront import call_correlation
 from burdockfront import context as context_lib
 from burdockfront import levels
 from burdockfront import outcomes
-from burdockfront import running
 from burdockfront import starvation
 from burdockfront import transfer_costs
 from burdockfront_client import calls
@@ -47,7 +47,7 @@
         self._starvation = starvation.StarvationBook()
         self._detours = transfer_costs.DetourBook(time.monotonic())
         self._new_work: set[str] = set()
-        self._running = running.RunningRequests()
+        self._running = call_correlation.RunningRequests()
 
     def is_new_work(self, class_name: str) -> bool:
         """Whether guards said that requests of a class are new work."""
