--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -49,7 +49,7 @@
     kb: float = _USUAL_KB
 
 
-class PaceBook:
+class GuardEstimates:
     """What one router learned of guards and classes."""
 
     def __init__(self) -> None:
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -44,7 +44,7 @@
 
     def __init__(self, data_center: str, rng: random.Random):
         super().__init__(data_center, rng)
-        self.pace = guard_estimates.PaceBook()
+        self.pace = guard_estimates.GuardEstimates()
         self.ways = transfer_costs.HeardDetours()
 
     def forget(self, node_id: str) -> None:
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -118,7 +118,7 @@
 
 
 def test_good_answers_of_a_server_that_failed_are_believed():
-    book = guard_estimates.PaceBook()
+    book = guard_estimates.GuardEstimates()
     for _ in range(100):
         book.failed("near", 1.0)
     for _ in range(200):
