--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -45,7 +45,7 @@
         self._services = services
         self._origins = starvation.OriginBook()
         self._starvation = starvation.StarvationBook()
-        self._detours = transfer_costs.DetourBook(time.monotonic())
+        self._detours = transfer_costs.TransferCostTracker(time.monotonic())
         self._new_work: set[str] = set()
         self._running = call_correlation.RunningRequests()
 
--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -49,7 +49,7 @@
         return calls / (self.busy_s + _PRIOR_BUSY_S)
 
 
-class DetourBook:
+class TransferCostTracker:
     """What one node learned of the requests at its backend server.
 
     Args:
--- a/tests/unit/test_detours.py
+++ b/tests/unit/test_detours.py
@@ -41,7 +41,7 @@
 def test_calls_are_attributed_to_the_class_that_makes_them():
     # Nothing on a call names its request. A class that makes no calls must
     # not be sent to another data centre for the sake of one that does.
-    book = transfer_costs.DetourBook(0.0)
+    book = transfer_costs.TransferCostTracker(0.0)
     for event in _events(seed=1, length_s=12.0):
         if event.kind == "began":
             book.began(event.class_name, event.at_s)
@@ -54,7 +54,7 @@
 
 
 def test_ways_of_a_server_that_came_back_are_forgotten():
-    book = transfer_costs.DetourBook(0.0)
+    book = transfer_costs.TransferCostTracker(0.0)
     for number in range(100):
         at_s = number / 10
         book.began("browse", at_s)
@@ -67,6 +67,6 @@
 
 
 def test_unknown_class_costs_nothing():
-    book = transfer_costs.DetourBook(0.0)
+    book = transfer_costs.TransferCostTracker(0.0)
     book.called(1.0, 1.0)
     assert book.per_request("browse") == 0.0
