--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -45,7 +45,7 @@
     def __init__(self, data_center: str, rng: random.Random):
         super().__init__(data_center, rng)
         self.pace = guard_estimates.GuardEstimates()
-        self.ways = transfer_costs.HeardDetours()
+        self.ways = transfer_costs.ReportedTransferCosts()
 
     def forget(self, node_id: str) -> None:
         """Drops what is known of a guard that is gone."""
--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -126,7 +126,7 @@
     at_s: float
 
 
-class HeardDetours:
+class ReportedTransferCosts:
     """What guards said of the bytes below them, at the asking side."""
 
     def __init__(self) -> None:
