--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -47,7 +47,7 @@
         self._starvation = starvation.StarvationBook()
         self._detours = transfer_costs.TransferCostTracker(time.monotonic())
         self._new_work: set[str] = set()
-        self._running = call_correlation.RunningRequests()
+        self._running = call_correlation.CallCorrelator()
 
     def is_new_work(self, class_name: str) -> bool:
         """Whether guards said that requests of a class are new work."""
--- a/packages/burdockfront/src/burdockfront/call_correlation.py
+++ b/packages/burdockfront/src/burdockfront/call_correlation.py
@@ -21,7 +21,7 @@
 _MOST_PARTS = context_lib.MAX_DEPTH
 
 
-class RunningRequests:
+class CallCorrelator:
     """Requests that are at one node's backend server."""
 
     def __init__(self) -> None:
--- a/tests/unit/test_running.py
+++ b/tests/unit/test_running.py
@@ -4,15 +4,15 @@
 from tests import builders
 
 
-def _running(*ids: str) -> call_correlation.RunningRequests:
-    known = call_correlation.RunningRequests()
+def _running(*ids: str) -> call_correlation.CallCorrelator:
+    known = call_correlation.CallCorrelator()
     for request_id in ids:
         known.began(builders.a_context(request_id=request_id))
     return known
 
 
 def _parent_of(
-    known: call_correlation.RunningRequests, request_id: str
+    known: call_correlation.CallCorrelator, request_id: str
 ) -> str | None:
     parent = known.parent_of(request_id)
     return parent.request_id if parent else None
@@ -38,7 +38,7 @@
 
 
 def test_request_that_has_ended_is_nobodys_parent():
-    known = call_correlation.RunningRequests()
+    known = call_correlation.CallCorrelator()
     context = builders.a_context(request_id="a1")
     again = builders.a_context(request_id="a1", attempt_id="second")
     known.began(context)
