--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -89,7 +89,7 @@
     until_s: float
 
 
-class Guards:
+class GuardSet:
     """Knows guards, and learns from what became of calls.
 
     Args:
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -34,7 +34,7 @@
 _UNKNOWN_S = 0.05
 
 
-class Router(guards.Guards):
+class Router(guards.GuardSet):
     """Chooses guards.
 
     Args:
