--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
+class Candidates:
     """The guards of a service that may get a call.
 
     Attributes:
@@ -102,7 +102,7 @@
         self._rng = rng
         self._targets: dict[str, dict[str, Target]] = {}
         self._states: dict[str, _State] = {}
-        self._views: dict[str, View] = {}
+        self._views: dict[str, Candidates] = {}
 
     def update(self, targets: Iterable[Target]) -> None:
         """Takes the backend servers that membership knows now."""
@@ -139,7 +139,9 @@
         """Returns one guard by name."""
         return self._targets.get(service, {}).get(node_id)
 
-    def view(self, service: str, tried: frozenset[str], now_s: float) -> View:
+    def view(
+        self, service: str, tried: frozenset[str], now_s: float
+    ) -> Candidates:
         """Returns which guards may get a call.
 
         For first tries it is kept until something changes: looking at each
@@ -292,7 +294,9 @@
         slots = max(1, target.slots)
         return (state.in_flight + 1) / slots + trust * state.load
 
-    def _look(self, service: str, tried: frozenset[str], now_s: float) -> View:
+    def _look(
+        self, service: str, tried: frozenset[str], now_s: float
+    ) -> Candidates:
         open_targets = []
         limited = []
         due = None
@@ -320,7 +324,7 @@
         usable = self._with_floor(open_targets, usable)
         near = [t for t in usable if t.data_center == self._data_center]
         far = [t for t in usable if t.data_center != self._data_center]
-        return View(near, far, limited, due, until_s)
+        return Candidates(near, far, limited, due, until_s)
 
     def _with_floor(
         self, targets: list[Target], usable: list[Target]
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -93,7 +93,7 @@
         service: str,
         class_name: str,
         limit_s: float,
-        view: guards.View,
+        view: guards.Candidates,
         now_s: float,
     ) -> guards.Target:
         """Returns a guard of our data centre, unless another one is worth it.
