--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -115,21 +115,21 @@
         elapsed_s: float,
         now_s: float,
     ) -> None:
-        pace = self._router.pace
+        estimates = self._router.estimates
         if answer.reason in _FAULTS:
-            pace.failed(target.node_id, now_s)
+            estimates.failed(target.node_id, now_s)
         class_name = call.context.class_name
         timed_out = (
             answer.reason is outcomes.Reason.DEADLINE
             and answer.outcome is outcomes.Outcome.UNKNOWN
         )
         if timed_out or answer.status == _TIMEOUT_STATUS:
-            pace.late(call.service, target.node_id, class_name, elapsed_s)
+            estimates.late(call.service, target.node_id, class_name, elapsed_s)
         if answer.outcome is not outcomes.Outcome.DONE:
             return
-        pace.moved(call.service, class_name, _kb_of(call, answer))
+        estimates.moved(call.service, class_name, _kb_of(call, answer))
         if answer.status < _SERVER_ERROR:
-            pace.answered(
+            estimates.answered(
                 call.service, target.node_id, class_name, elapsed_s, now_s
             )
 
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -44,12 +44,12 @@
 
     def __init__(self, data_center: str, rng: random.Random):
         super().__init__(data_center, rng)
-        self.pace = guard_estimates.GuardEstimates()
+        self.estimates = guard_estimates.GuardEstimates()
         self.ways = transfer_costs.ReportedTransferCosts()
 
     def forget(self, node_id: str) -> None:
         """Drops what is known of a guard that is gone."""
-        self.pace.forget(node_id)
+        self.estimates.forget(node_id)
         self.ways.forget(node_id)
 
     def choose(
@@ -105,7 +105,7 @@
         thirds of all bytes on a quiet day. Judged by nearness alone, one data
         centre drowns, or is always late, beside idle ones.
         """
-        typical_s = self.pace.typical_s(service, class_name) or _UNKNOWN_S
+        typical_s = self.estimates.typical_s(service, class_name) or _UNKNOWN_S
         if not view.near:
             return self._better_of_two(view.far, typical_s, limit_s, now_s)
         best = self._better_of_two(view.near, typical_s, limit_s, now_s)
@@ -114,7 +114,7 @@
         other = self._sooner_of_two(view.far, typical_s, now_s)
         gained = self._chance(other, typical_s, limit_s, now_s)
         gained -= self._chance(best, typical_s, limit_s, now_s)
-        way_kb = self.pace.kb_of(service, class_name)
+        way_kb = self.estimates.kb_of(service, class_name)
         if gained > max(_LEAST_GAIN, way_kb / _KB_PER_ANSWER):
             return other
         harms = gained < -_HARM
@@ -133,7 +133,7 @@
     ) -> float:
         """Returns how likely a guard's answer comes, and in time."""
         expected_s = self._expected_s(target, typical_s, now_s)
-        return self.pace.chance(target.node_id, expected_s, limit_s, now_s)
+        return self.estimates.chance(target.node_id, expected_s, limit_s, now_s)
 
     def _saves_ways(
         self,
@@ -161,7 +161,11 @@
     ) -> float:
         """Returns how long an answer of a guard will take from now on."""
         waiting = max(0.0, self.score(target, now_s) - _PRESSED)
-        return typical_s * self.pace.relative(target.node_id) * (1.0 + waiting)
+        return (
+            typical_s
+            * self.estimates.relative(target.node_id)
+            * (1.0 + waiting)
+        )
 
     def _sooner_of_two(
         self, targets: list[guards.Target], typical_s: float, now_s: float
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -33,9 +33,9 @@
     router: routing.Router, near_s: float, far_s: float, kb: float = 1.0
 ) -> None:
     for _ in range(200):
-        router.pace.answered("fees", "near", _CLASS, near_s, 1.0)
-        router.pace.answered("fees", "far", _CLASS, far_s, 1.0)
-        router.pace.moved("fees", _CLASS, kb)
+        router.estimates.answered("fees", "near", _CLASS, near_s, 1.0)
+        router.estimates.answered("fees", "far", _CLASS, far_s, 1.0)
+        router.estimates.moved("fees", _CLASS, kb)
 
 
 def test_work_stays_near_though_all_slots_there_are_in_use():
@@ -101,8 +101,8 @@
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(40):
-        router.pace.failed("near", 1.0)
-        router.pace.answered("fees", "near", _CLASS, 0.1, 1.0)
+        router.estimates.failed("near", 1.0)
+        router.estimates.answered("fees", "near", _CLASS, 0.1, 1.0)
     assert _far_share(router) == 1.0
 
 
@@ -111,8 +111,8 @@
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(100):
-        router.pace.failed("near", 1.0)
-    assert router.pace.failing("near", 1.0) > 0.9
+        router.estimates.failed("near", 1.0)
+    assert router.estimates.failing("near", 1.0) > 0.9
     assert _far_share(router) == 1.0
     assert _far_share(router, now_s=9.0) == 0.0
 
@@ -139,9 +139,11 @@
             "fees", frozenset(), now_s, class_name=_CLASS, limit_s=0.5
         )
         if rng.random() < 0.5:
-            router.pace.failed(target.node_id, now_s)
+            router.estimates.failed(target.node_id, now_s)
         else:
-            router.pace.answered("fees", target.node_id, _CLASS, 0.1, now_s)
+            router.estimates.answered(
+                "fees", target.node_id, _CLASS, 0.1, now_s
+            )
         far += target.node_id == "far"
     assert far < 400
 
@@ -152,7 +154,7 @@
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(30):
-        router.pace.late("fees", "near", _CLASS, 0.4)
+        router.estimates.late("fees", "near", _CLASS, 0.4)
     assert _far_share(router, limit_s=0.4) == 1.0
 
 
@@ -164,9 +166,9 @@
         builders.a_target(name, data_center="dc1", slots=8) for name in names
     )
     for _ in range(100):
-        router.pace.failed("grey", 1.0)
-        router.pace.answered("fees", "grey", _CLASS, 0.1, 1.0)
-        router.pace.answered("fees", "good", _CLASS, 0.1, 1.0)
+        router.estimates.failed("grey", 1.0)
+        router.estimates.answered("fees", "grey", _CLASS, 0.1, 1.0)
+        router.estimates.answered("fees", "good", _CLASS, 0.1, 1.0)
     chosen = {
         router.choose(
             "fees", frozenset(), 1.0, class_name=_CLASS, limit_s=0.5
@@ -180,7 +182,7 @@
     router = _router()
     _answers(router, 0.5, 0.2)
     router.update([])
-    assert router.pace.relative("near") == 1.0
+    assert router.estimates.relative("near") == 1.0
 
 
 def test_request_leaves_whose_calls_would_leave_below():
