--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -45,12 +45,12 @@
     def __init__(self, data_center: str, rng: random.Random):
         super().__init__(data_center, rng)
         self.estimates = guard_estimates.GuardEstimates()
-        self.ways = transfer_costs.ReportedTransferCosts()
+        self.transfer_costs = transfer_costs.ReportedTransferCosts()
 
     def forget(self, node_id: str) -> None:
         """Drops what is known of a guard that is gone."""
         self.estimates.forget(node_id)
-        self.ways.forget(node_id)
+        self.transfer_costs.forget(node_id)
 
     def choose(
         self,
@@ -151,8 +151,10 @@
         old, and a data centre that got everybody's requests for a small gain
         would be the next to be left.
         """
-        stays_kb = self.ways.kb_of(near.node_id, class_name, now_s)
-        goes_kb = way_kb + self.ways.kb_of(far.node_id, class_name, now_s)
+        stays_kb = self.transfer_costs.kb_of(near.node_id, class_name, now_s)
+        goes_kb = way_kb + self.transfer_costs.kb_of(
+            far.node_id, class_name, now_s
+        )
         saved_kb = stays_kb - goes_kb - _LEAST_SAVED_KB
         return self._rng.random() * _SAVED_SHARE * stays_kb < saved_kb
 
