--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -129,7 +129,7 @@
             return
         estimates.moved(call.service, class_name, _kb_of(call, answer))
         if answer.status < _SERVER_ERROR:
-            estimates.answered(
+            estimates.record_answer(
                 call.service, target.node_id, class_name, elapsed_s, now_s
             )
 
--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -57,7 +57,7 @@
         self._relative: dict[str, float] = {}
         self._failing: dict[str, _Failing] = {}
 
-    def answered(
+    def record_answer(
         self,
         service: str,
         node_id: str,
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -33,8 +33,8 @@
     router: routing.Router, near_s: float, far_s: float, kb: float = 1.0
 ) -> None:
     for _ in range(200):
-        router.estimates.answered("fees", "near", _CLASS, near_s, 1.0)
-        router.estimates.answered("fees", "far", _CLASS, far_s, 1.0)
+        router.estimates.record_answer("fees", "near", _CLASS, near_s, 1.0)
+        router.estimates.record_answer("fees", "far", _CLASS, far_s, 1.0)
         router.estimates.moved("fees", _CLASS, kb)
 
 
@@ -102,7 +102,7 @@
     _answers(router, 0.1, 0.1)
     for _ in range(40):
         router.estimates.failed("near", 1.0)
-        router.estimates.answered("fees", "near", _CLASS, 0.1, 1.0)
+        router.estimates.record_answer("fees", "near", _CLASS, 0.1, 1.0)
     assert _far_share(router) == 1.0
 
 
@@ -122,7 +122,7 @@
     for _ in range(100):
         book.failed("near", 1.0)
     for _ in range(200):
-        book.answered("fees", "near", _CLASS, 0.1, 1.0)
+        book.record_answer("fees", "near", _CLASS, 0.1, 1.0)
     assert book.failing("near", 1.0) < 0.01
 
 
@@ -141,7 +141,7 @@
         if rng.random() < 0.5:
             router.estimates.failed(target.node_id, now_s)
         else:
-            router.estimates.answered(
+            router.estimates.record_answer(
                 "fees", target.node_id, _CLASS, 0.1, now_s
             )
         far += target.node_id == "far"
@@ -167,8 +167,8 @@
     )
     for _ in range(100):
         router.estimates.failed("grey", 1.0)
-        router.estimates.answered("fees", "grey", _CLASS, 0.1, 1.0)
-        router.estimates.answered("fees", "good", _CLASS, 0.1, 1.0)
+        router.estimates.record_answer("fees", "grey", _CLASS, 0.1, 1.0)
+        router.estimates.record_answer("fees", "good", _CLASS, 0.1, 1.0)
     chosen = {
         router.choose(
             "fees", frozenset(), 1.0, class_name=_CLASS, limit_s=0.5
