--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -124,7 +124,9 @@
             and answer.outcome is outcomes.Outcome.UNKNOWN
         )
         if timed_out or answer.status == _TIMEOUT_STATUS:
-            estimates.late(call.service, target.node_id, class_name, elapsed_s)
+            estimates.record_timeout(
+                call.service, target.node_id, class_name, elapsed_s
+            )
         if answer.outcome is not outcomes.Outcome.DONE:
             return
         estimates.moved(call.service, class_name, _kb_of(call, answer))
--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -78,7 +78,7 @@
         before = self._relative.get(node_id, sample)
         self._relative[node_id] = before + _SPEED_WEIGHT * (sample - before)
 
-    def late(
+    def record_timeout(
         self, service: str, node_id: str, class_name: str, elapsed_s: float
     ) -> None:
         """Learns that an answer was given up after so long.
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -154,7 +154,7 @@
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(30):
-        router.estimates.late("fees", "near", _CLASS, 0.4)
+        router.estimates.record_timeout("fees", "near", _CLASS, 0.4)
     assert _far_share(router, limit_s=0.4) == 1.0
 
 
