--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -129,7 +129,7 @@
             )
         if answer.outcome is not outcomes.Outcome.DONE:
             return
-        estimates.moved(call.service, class_name, _kb_of(call, answer))
+        estimates.record_size(call.service, class_name, _kb_of(call, answer))
         if answer.status < _SERVER_ERROR:
             estimates.record_answer(
                 call.service, target.node_id, class_name, elapsed_s, now_s
--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -94,7 +94,7 @@
         if sample > before:
             self._relative[node_id] = before + _SPEED_WEIGHT * (sample - before)
 
-    def moved(self, service: str, class_name: str, kb: float) -> None:
+    def record_size(self, service: str, class_name: str, kb: float) -> None:
         """Learns how many kilobytes a call and its answer had."""
         known = self._class_of(service, class_name)
         known.kb += _BYTES_WEIGHT * (kb - known.kb)
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -35,7 +35,7 @@
     for _ in range(200):
         router.estimates.record_answer("fees", "near", _CLASS, near_s, 1.0)
         router.estimates.record_answer("fees", "far", _CLASS, far_s, 1.0)
-        router.estimates.moved("fees", _CLASS, kb)
+        router.estimates.record_size("fees", _CLASS, kb)
 
 
 def test_work_stays_near_though_all_slots_there_are_in_use():
