--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -117,7 +117,7 @@
     ) -> None:
         estimates = self._router.estimates
         if answer.reason in _FAULTS:
-            estimates.failed(target.node_id, now_s)
+            estimates.record_failure(target.node_id, now_s)
         class_name = call.context.class_name
         timed_out = (
             answer.reason is outcomes.Reason.DEADLINE
--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -99,7 +99,7 @@
         known = self._class_of(service, class_name)
         known.kb += _BYTES_WEIGHT * (kb - known.kb)
 
-    def failed(self, node_id: str, now_s: float) -> None:
+    def record_failure(self, node_id: str, now_s: float) -> None:
         """Learns that a server refused, or that its answer was lost."""
         self._learn_failing(node_id, 1.0, now_s)
 
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -101,7 +101,7 @@
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(40):
-        router.estimates.failed("near", 1.0)
+        router.estimates.record_failure("near", 1.0)
         router.estimates.record_answer("fees", "near", _CLASS, 0.1, 1.0)
     assert _far_share(router) == 1.0
 
@@ -111,7 +111,7 @@
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(100):
-        router.estimates.failed("near", 1.0)
+        router.estimates.record_failure("near", 1.0)
     assert router.estimates.failing("near", 1.0) > 0.9
     assert _far_share(router) == 1.0
     assert _far_share(router, now_s=9.0) == 0.0
@@ -120,7 +120,7 @@
 def test_good_answers_of_a_server_that_failed_are_believed():
     book = guard_estimates.GuardEstimates()
     for _ in range(100):
-        book.failed("near", 1.0)
+        book.record_failure("near", 1.0)
     for _ in range(200):
         book.record_answer("fees", "near", _CLASS, 0.1, 1.0)
     assert book.failing("near", 1.0) < 0.01
@@ -139,7 +139,7 @@
             "fees", frozenset(), now_s, class_name=_CLASS, limit_s=0.5
         )
         if rng.random() < 0.5:
-            router.estimates.failed(target.node_id, now_s)
+            router.estimates.record_failure(target.node_id, now_s)
         else:
             router.estimates.record_answer(
                 "fees", target.node_id, _CLASS, 0.1, now_s
@@ -166,7 +166,7 @@
         builders.a_target(name, data_center="dc1", slots=8) for name in names
     )
     for _ in range(100):
-        router.estimates.failed("grey", 1.0)
+        router.estimates.record_failure("grey", 1.0)
         router.estimates.record_answer("fees", "grey", _CLASS, 0.1, 1.0)
         router.estimates.record_answer("fees", "good", _CLASS, 0.1, 1.0)
     chosen = {
