--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -117,7 +117,7 @@
         """Returns the time of a server's answers beside what is typical."""
         return self._relative.get(node_id, 1.0)
 
-    def failing(self, node_id: str, now_s: float) -> float:
+    def failure_rate(self, node_id: str, now_s: float) -> float:
         """Returns the part of a server's requests that fail, about."""
         known = self._failing.get(node_id)
         if known is None:
@@ -141,7 +141,7 @@
         late = 1.0
         if limit_s > 0.0:
             late = 1.0 / (1.0 + (limit_s / max(expected_s, 1e-6)) ** _SHAPE)
-        return (1.0 - self.failing(node_id, now_s)) * (1.0 - late)
+        return (1.0 - self.failure_rate(node_id, now_s)) * (1.0 - late)
 
     def forget(self, node_id: str) -> None:
         """Drops what is known of a server that is gone."""
@@ -149,7 +149,7 @@
         self._failing.pop(node_id, None)
 
     def _learn_failing(self, node_id: str, sample: float, now_s: float) -> None:
-        share = self.failing(node_id, now_s)
+        share = self.failure_rate(node_id, now_s)
         share += _FAILING_WEIGHT * (sample - share)
         self._failing[node_id] = _Failing(share, now_s)
 
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -112,7 +112,7 @@
     _answers(router, 0.1, 0.1)
     for _ in range(100):
         router.estimates.record_failure("near", 1.0)
-    assert router.estimates.failing("near", 1.0) > 0.9
+    assert router.estimates.failure_rate("near", 1.0) > 0.9
     assert _far_share(router) == 1.0
     assert _far_share(router, now_s=9.0) == 0.0
 
@@ -123,7 +123,7 @@
         book.record_failure("near", 1.0)
     for _ in range(200):
         book.record_answer("fees", "near", _CLASS, 0.1, 1.0)
-    assert book.failing("near", 1.0) < 0.01
+    assert book.failure_rate("near", 1.0) < 0.01
 
 
 def test_service_that_refuses_everywhere_is_asked_near():
