--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -113,7 +113,7 @@
         known = self._classes.get((service, class_name))
         return known.kb if known else _USUAL_KB
 
-    def relative(self, node_id: str) -> float:
+    def relative_latency(self, node_id: str) -> float:
         """Returns the time of a server's answers beside what is typical."""
         return self._relative.get(node_id, 1.0)
 
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -165,7 +165,7 @@
         waiting = max(0.0, self.score(target, now_s) - _PRESSED)
         return (
             typical_s
-            * self.estimates.relative(target.node_id)
+            * self.estimates.relative_latency(target.node_id)
             * (1.0 + waiting)
         )
 
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -182,7 +182,7 @@
     router = _router()
     _answers(router, 0.5, 0.2)
     router.update([])
-    assert router.estimates.relative("near") == 1.0
+    assert router.estimates.relative_latency("near") == 1.0
 
 
 def test_request_leaves_whose_calls_would_leave_below():
