--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -127,7 +127,7 @@
             return known.share
         return known.share * max(0.0, 1.0 - faded_s / _FAILING_FADES_S)
 
-    def chance(
+    def success_probability(
         self, node_id: str, expected_s: float, limit_s: float, now_s: float
     ) -> float:
         """Returns how likely an answer of a server comes, and in time.
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -133,7 +133,9 @@
     ) -> float:
         """Returns how likely a guard's answer comes, and in time."""
         expected_s = self._expected_s(target, typical_s, now_s)
-        return self.estimates.chance(target.node_id, expected_s, limit_s, now_s)
+        return self.estimates.success_probability(
+            target.node_id, expected_s, limit_s, now_s
+        )
 
     def _saves_ways(
         self,
