--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -60,7 +60,7 @@
         self._classes: dict[str, _Class] = {}
         self._at_s = now_s
 
-    def began(self, class_name: str, now_s: float) -> None:
+    def record_start(self, class_name: str, now_s: float) -> None:
         """Notes that a request is handed to the backend server."""
         self._fade(now_s)
         known = self._classes.setdefault(class_name, _Class())
--- a/tests/unit/test_detours.py
+++ b/tests/unit/test_detours.py
@@ -44,7 +44,7 @@
     book = transfer_costs.TransferCostTracker(0.0)
     for event in _events(seed=1, length_s=12.0):
         if event.kind == "began":
-            book.began(event.class_name, event.at_s)
+            book.record_start(event.class_name, event.at_s)
         elif event.kind == "ended":
             book.ended(event.class_name, event.at_s)
         else:
@@ -57,7 +57,7 @@
     book = transfer_costs.TransferCostTracker(0.0)
     for number in range(100):
         at_s = number / 10
-        book.began("browse", at_s)
+        book.record_start("browse", at_s)
         away = number < 50
         book.called(8.0 if away else 0.0, at_s + 0.01)
         book.ended("browse", at_s + 0.02)
