--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -67,7 +67,7 @@
         known.at_work += 1
         known.runs += 1.0
 
-    def ended(self, class_name: str, now_s: float) -> None:
+    def record_end(self, class_name: str, now_s: float) -> None:
         """Notes that the backend server is done with a request."""
         self._fade(now_s)
         known = self._classes[class_name]
--- a/tests/unit/test_detours.py
+++ b/tests/unit/test_detours.py
@@ -46,7 +46,7 @@
         if event.kind == "began":
             book.record_start(event.class_name, event.at_s)
         elif event.kind == "ended":
-            book.ended(event.class_name, event.at_s)
+            book.record_end(event.class_name, event.at_s)
         else:
             book.called(1.0, event.at_s)
     assert 3.0 < book.per_request("roster") < 4.5
@@ -60,7 +60,7 @@
         book.record_start("browse", at_s)
         away = number < 50
         book.called(8.0 if away else 0.0, at_s + 0.01)
-        book.ended("browse", at_s + 0.02)
+        book.record_end("browse", at_s + 0.02)
         if number == 49:
             assert book.per_request("browse") > 7.0
     assert book.per_request("browse") < 2.0
