--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -114,7 +114,7 @@
             # A guard's own word; answers made here say nothing of the kind.
             self._new_work.add(class_name)
         if class_name not in self._new_work:
-            self._detours.called(answer.far_kb, time.monotonic())
+            self._detours.record_call(answer.far_kb, time.monotonic())
         no_room = answer.reason in _NO_ROOM or answer.starved
         if no_room and class_name not in self._new_work:
             child = starvation.Child(call.service, class_name)
--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -74,7 +74,7 @@
         assert known.at_work > 0, "a request ends once"
         known.at_work -= 1
 
-    def called(self, far_kb: float, now_s: float) -> None:
+    def record_call(self, far_kb: float, now_s: float) -> None:
         """Notes a call that the backend server made.
 
         Args:
--- a/tests/unit/test_detours.py
+++ b/tests/unit/test_detours.py
@@ -48,7 +48,7 @@
         elif event.kind == "ended":
             book.record_end(event.class_name, event.at_s)
         else:
-            book.called(1.0, event.at_s)
+            book.record_call(1.0, event.at_s)
     assert 3.0 < book.per_request("roster") < 4.5
     assert book.per_request("timings") < 1.0
 
@@ -59,7 +59,7 @@
         at_s = number / 10
         book.record_start("browse", at_s)
         away = number < 50
-        book.called(8.0 if away else 0.0, at_s + 0.01)
+        book.record_call(8.0 if away else 0.0, at_s + 0.01)
         book.record_end("browse", at_s + 0.02)
         if number == 49:
             assert book.per_request("browse") > 7.0
@@ -68,5 +68,5 @@
 
 def test_unknown_class_costs_nothing():
     book = transfer_costs.TransferCostTracker(0.0)
-    book.called(1.0, 1.0)
+    book.record_call(1.0, 1.0)
     assert book.per_request("browse") == 0.0
