--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -127,7 +127,7 @@
         now_s = time.monotonic()
         class_name = call.context.class_name
         self._new_work.discard(class_name)
-        self._detours.called_by(call.parent_class, answer.far_kb, now_s)
+        self._detours.record_call_of(call.parent_class, answer.far_kb, now_s)
         self._book.called(call.parent_class, call.service, now_s, class_name)
         if answer.reason in _NO_ROOM or answer.starved:
             child = starvation.Child(call.service, class_name)
--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -93,7 +93,9 @@
             known.calls += share
             known.far_kb += share * far_kb
 
-    def called_by(self, class_name: str, far_kb: float, now_s: float) -> None:
+    def record_call_of(
+        self, class_name: str, far_kb: float, now_s: float
+    ) -> None:
         """Notes a call that is known to be made for a request of a class."""
         self._fade(now_s)
         known = self._classes.setdefault(class_name, _Class())
