--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -73,7 +73,7 @@
 
     def detours_of(self, class_name: str) -> float:
         """Returns the kilobytes that requests of a class cost below."""
-        return self._detours.per_request(class_name)
+        return self._detours.kb_per_request(class_name)
 
     def run_began(self, attempt: calls.Attempt) -> None:
         """Notes that a request is handed to the backend server."""
--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -102,7 +102,7 @@
         known.calls += 1.0
         known.far_kb += far_kb
 
-    def per_request(self, class_name: str) -> float:
+    def kb_per_request(self, class_name: str) -> float:
         """Returns the kilobytes that a request of a class costs below."""
         known = self._classes.get(class_name)
         if known is None:
--- a/tests/unit/test_detours.py
+++ b/tests/unit/test_detours.py
@@ -49,8 +49,8 @@
             book.record_end(event.class_name, event.at_s)
         else:
             book.record_call(1.0, event.at_s)
-    assert 3.0 < book.per_request("roster") < 4.5
-    assert book.per_request("timings") < 1.0
+    assert 3.0 < book.kb_per_request("roster") < 4.5
+    assert book.kb_per_request("timings") < 1.0
 
 
 def test_ways_of_a_server_that_came_back_are_forgotten():
@@ -62,11 +62,11 @@
         book.record_call(8.0 if away else 0.0, at_s + 0.01)
         book.record_end("browse", at_s + 0.02)
         if number == 49:
-            assert book.per_request("browse") > 7.0
-    assert book.per_request("browse") < 2.0
+            assert book.kb_per_request("browse") > 7.0
+    assert book.kb_per_request("browse") < 2.0
 
 
 def test_unknown_class_costs_nothing():
     book = transfer_costs.TransferCostTracker(0.0)
     book.record_call(1.0, 1.0)
-    assert book.per_request("browse") == 0.0
+    assert book.kb_per_request("browse") == 0.0
