--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -75,7 +75,7 @@
         self._router.answered(
             target.node_id, answer.load, answer.draining, now_s
         )
-        self._router.transfer_costs.heard(
+        self._router.transfer_costs.record_report(
             target.node_id, call.context.class_name, answer.far_kb, now_s
         )
         if answer.report is not None:
--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -134,7 +134,7 @@
     def __init__(self) -> None:
         self._heard: dict[tuple[str, str], _Heard] = {}
 
-    def heard(
+    def record_report(
         self, node_id: str, class_name: str, far_kb: float, now_s: float
     ) -> None:
         """Takes what a guard said on an answer."""
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -191,8 +191,8 @@
     # slow or pressed, so nothing else tells.
     router = _router()
     _answers(router, 0.2, 0.2)
-    router.transfer_costs.heard("near", _CLASS, 8.0, 1.0)
-    router.transfer_costs.heard("far", _CLASS, 0.0, 1.0)
+    router.transfer_costs.record_report("near", _CLASS, 8.0, 1.0)
+    router.transfer_costs.record_report("far", _CLASS, 0.0, 1.0)
     assert _far_share(router) == 1.0
 
 
@@ -201,23 +201,23 @@
     # say is old: all at once, requests would run from one to the other.
     router = _router()
     _answers(router, 0.2, 0.2)
-    router.transfer_costs.heard("near", _CLASS, 2.5, 1.0)
-    router.transfer_costs.heard("far", _CLASS, 0.0, 1.0)
+    router.transfer_costs.record_report("near", _CLASS, 2.5, 1.0)
+    router.transfer_costs.record_report("far", _CLASS, 0.0, 1.0)
     assert 0.4 < _far_share(router) < 0.8
 
 
 def test_request_stays_where_its_calls_leave_as_often_elsewhere():
     router = _router()
     _answers(router, 0.2, 0.2)
-    router.transfer_costs.heard("near", _CLASS, 3.0, 1.0)
-    router.transfer_costs.heard("far", _CLASS, 3.0, 1.0)
+    router.transfer_costs.record_report("near", _CLASS, 3.0, 1.0)
+    router.transfer_costs.record_report("far", _CLASS, 3.0, 1.0)
     assert _far_share(router) == 0.0
 
 
 def test_detours_are_not_worth_a_server_that_takes_twice_as_long():
     router = _router()
     _answers(router, 0.2, 0.5)
-    router.transfer_costs.heard("near", _CLASS, 8.0, 1.0)
+    router.transfer_costs.record_report("near", _CLASS, 8.0, 1.0)
     assert _far_share(router) == 0.0
 
 
@@ -226,5 +226,5 @@
     # service below it is back.
     router = _router()
     _answers(router, 0.2, 0.2)
-    router.transfer_costs.heard("near", _CLASS, 8.0, -60.0)
+    router.transfer_costs.record_report("near", _CLASS, 8.0, -60.0)
     assert _far_share(router) == 0.0
