--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -77,7 +77,7 @@
 
     def run_began(self, attempt: calls.Attempt) -> None:
         """Notes that a request is handed to the backend server."""
-        self._running.began(attempt.context)
+        self._running.add(attempt.context)
         self._detours.record_start(attempt.context.class_name, time.monotonic())
 
     def run_left(self, attempt: calls.Attempt) -> None:
--- a/packages/burdockfront/src/burdockfront/call_correlation.py
+++ b/packages/burdockfront/src/burdockfront/call_correlation.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._running: dict[str, list[context_lib.RequestContext]] = {}
 
-    def began(self, context: context_lib.RequestContext) -> None:
+    def add(self, context: context_lib.RequestContext) -> None:
         """Notes that a request is handed to the backend server."""
         self._running.setdefault(context.request_id, []).append(context)
 
--- a/tests/unit/test_running.py
+++ b/tests/unit/test_running.py
@@ -7,7 +7,7 @@
 def _running(*ids: str) -> call_correlation.CallCorrelator:
     known = call_correlation.CallCorrelator()
     for request_id in ids:
-        known.began(builders.a_context(request_id=request_id))
+        known.add(builders.a_context(request_id=request_id))
     return known
 
 
@@ -41,8 +41,8 @@
     known = call_correlation.CallCorrelator()
     context = builders.a_context(request_id="a1")
     again = builders.a_context(request_id="a1", attempt_id="second")
-    known.began(context)
-    known.began(again)
+    known.add(context)
+    known.add(again)
     known.ended(context)
     assert _parent_of(known, "a1.b2") == "a1", "it runs a second time"
     known.ended(again)
