--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -82,7 +82,7 @@
 
     def run_left(self, attempt: calls.Attempt) -> None:
         """Notes that nobody waits for a request at the backend server."""
-        self._running.ended(attempt.context)
+        self._running.remove(attempt.context)
         self._detours.record_end(attempt.context.class_name, time.monotonic())
 
     def run_ended(
--- a/packages/burdockfront/src/burdockfront/call_correlation.py
+++ b/packages/burdockfront/src/burdockfront/call_correlation.py
@@ -31,7 +31,7 @@
         """Notes that a request is handed to the backend server."""
         self._running.setdefault(context.request_id, []).append(context)
 
-    def ended(self, context: context_lib.RequestContext) -> None:
+    def remove(self, context: context_lib.RequestContext) -> None:
         """Notes that the backend server is done with a request."""
         attempts = self._running[context.request_id]
         attempts.remove(context)
--- a/tests/unit/test_running.py
+++ b/tests/unit/test_running.py
@@ -43,7 +43,7 @@
     again = builders.a_context(request_id="a1", attempt_id="second")
     known.add(context)
     known.add(again)
-    known.ended(context)
+    known.remove(context)
     assert _parent_of(known, "a1.b2") == "a1", "it runs a second time"
-    known.ended(again)
+    known.remove(again)
     assert _parent_of(known, "a1.b2") is None
