--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -139,7 +139,7 @@
         """Returns one guard by name."""
         return self._targets.get(service, {}).get(node_id)
 
-    def view(
+    def candidates(
         self, service: str, tried: frozenset[str], now_s: float
     ) -> Candidates:
         """Returns which guards may get a call.
@@ -222,7 +222,7 @@
 
         None unless all its guards that could be asked refuse for limits.
         """
-        view = self.view(service, frozenset(), now_s)
+        view = self.candidates(service, frozenset(), now_s)
         if view.near or view.far or not view.limited:
             return None
         until_s = min(
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -75,7 +75,7 @@
             insists: Whether it goes to a guard that refused for a limit, if
                 there is no other: what matters most there goes first.
         """
-        view = self.view(service, tried, now_s)
+        view = self.candidates(service, tried, now_s)
         if probe and view.due is not None:
             self.begin_probe(view.due, now_s)
             return view.due
