--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -111,7 +111,7 @@
             attempt.told = heard[target.node_id]
         attempt_id = attempt.context.attempt_id
         self._counters.attempts += 1
-        self._router.sent(target.node_id)
+        self._router.record_sent(target.node_id)
         alarm = None
         if overdue_s < timeout_s:
             alarm = asyncio.get_running_loop().call_later(
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -164,7 +164,7 @@
         state.probe_at_s = now_s + state.pause_s
         self._views.clear()
 
-    def sent(self, node_id: str) -> None:
+    def record_sent(self, node_id: str) -> None:
         """Counts a call on its way."""
         state = self._states.get(node_id)
         if state is not None:
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -155,7 +155,7 @@
     # it is. Calls go elsewhere; one probe at a time finds out when it is back.
     router = _router("a", "b", "c")
     for _ in range(3):
-        router.sent("a")
+        router.record_sent("a")
         router.unanswered("a", False, 1.0)
     assert router.ejected() == ["a"]
     assert "a" not in _choices(router, 1.1)
@@ -239,7 +239,7 @@
     # counted, a frozen owner would be given confirmations for seconds.
     router = _router("a", "b", "c")
     for _ in range(3):
-        router.sent("a")
+        router.record_sent("a")
         router.overdue("a", 1.0)
     assert router.ejected() == ["a"]
 
