--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -72,7 +72,7 @@
             now_s: The current time.
         """
         self._learn_pace(call, target, answer, elapsed_s, now_s)
-        self._router.answered(
+        self._router.record_answer(
             target.node_id, answer.load, answer.draining, now_s
         )
         self._router.transfer_costs.record_report(
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -170,7 +170,7 @@
         if state is not None:
             state.in_flight += 1
 
-    def answered(
+    def record_answer(
         self, node_id: str, load: float | None, draining: bool, now_s: float
     ) -> None:
         """Learns from any answer of a guard: it is alive."""
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -160,7 +160,7 @@
     assert router.ejected() == ["a"]
     assert "a" not in _choices(router, 1.1)
     assert "a" in _choices(router, 3.0, count=1)
-    router.answered("a", 0.0, False, 3.1)
+    router.record_answer("a", 0.0, False, 3.1)
     assert router.ejected() == []
 
 
@@ -173,13 +173,13 @@
 
 def test_draining_guard_gets_no_new_work():
     router = _router("a", "b")
-    router.answered("a", 0.0, True, 1.0)
+    router.record_answer("a", 0.0, True, 1.0)
     assert _choices(router, 2.0) == {"b"}
 
 
 def test_told_load_moves_calls_but_never_all_of_them_by_stale_word():
     router = _router("a", "b")
-    router.answered("a", 5.0, False, 1.0)
+    router.record_answer("a", 5.0, False, 1.0)
     assert _choices(router, 1.1) == {"b"}
     assert _choices(router, 3.0) == {"a", "b"}
 
--- a/tests/unit/test_ways.py
+++ b/tests/unit/test_ways.py
@@ -42,7 +42,7 @@
     # A wait of one call is cheaper than the way.
     router = _router()
     _answers(router, 0.03, 0.03)
-    router.answered("near", 1.1, False, 1.0)
+    router.record_answer("near", 1.1, False, 1.0)
     assert _far_share(router) == 0.0
 
 
@@ -51,7 +51,7 @@
     # and the next data centre is idle. Calls may take 150 ms each.
     router = _router()
     _answers(router, 0.03, 0.03)
-    router.answered("near", 5.0, False, 1.0)
+    router.record_answer("near", 5.0, False, 1.0)
     assert _far_share(router, limit_s=0.15) == 1.0
 
 
