--- a/packages/burdockfront-bench/src/burdockfront_bench/limit_scale.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/limit_scale.py
@@ -79,7 +79,7 @@
     if rate.take(now_s):
         tally.taken += settled
         return
-    router.limited("limited", rate.refuse(), now_s)
+    router.record_limited("limited", rate.refuse(), now_s)
     tally.refused += settled
     tally.refused_first += not settled
 
--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -141,7 +141,7 @@
         """Stays away from a guard that refused for a limit of its server."""
         away_s = answer.retry_after_s or 0.0
         report = answer.report
-        if self._router.limited(target.node_id, away_s, now_s):
+        if self._router.record_limited(target.node_id, away_s, now_s):
             self._recorder.record(
                 time.time(),
                 "router.limited",
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -190,7 +190,7 @@
             state.drained_at_s = now_s
             self._views.clear()
 
-    def limited(self, node_id: str, away_s: float, now_s: float) -> bool:
+    def record_limited(self, node_id: str, away_s: float, now_s: float) -> bool:
         """Learns that a guard refused for a limit of its backend server.
 
         Args:
--- a/tests/unit/test_limited_guards.py
+++ b/tests/unit/test_limited_guards.py
@@ -59,7 +59,7 @@
 def test_router_stays_away_from_a_limited_guard_as_long_as_it_was_told():
     # It has all its slots free, and would be the first choice each time.
     router = _router("n1", "n2")
-    router.limited("n1", 1.0, 10.0)
+    router.record_limited("n1", 1.0, 10.0)
     chosen = {router.choose("fees", frozenset(), 10.4) for _ in range(40)}
     assert {target.node_id for target in chosen} == {"n2"}
     chosen = {router.choose("fees", frozenset(), 11.6) for _ in range(40)}
@@ -68,7 +68,7 @@
 
 def test_limit_that_has_ended_opens_a_guard_at_once():
     router = _router("n1", "n2")
-    router.limited("n1", 5.0, 10.0)
+    router.record_limited("n1", 5.0, 10.0)
     router.unlimited("n1")
     chosen = {router.choose("fees", frozenset(), 10.1) for _ in range(40)}
     assert {target.node_id for target in chosen} == {"n1", "n2"}
@@ -76,7 +76,7 @@
 
 def test_one_limited_guard_is_told_of_once_while_its_limit_lasts():
     router = _router("n1", "n2")
-    news = [router.limited("n1", 1.0, 10.0 + 2 * n) for n in range(5)]
+    news = [router.record_limited("n1", 1.0, 10.0 + 2 * n) for n in range(5)]
     assert news == [True, False, False, False, False]
 
 
