--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -85,7 +85,7 @@
             )
             self.reports.heard(target.node_id, answer.report, from_server)
             if answer.report.limit_per_s is None:
-                self._router.unlimited(target.node_id)
+                self._router.clear_limit(target.node_id)
         if answer.reason is outcomes.Reason.LIMITED:
             self._note_limited(target, answer, now_s)
         if answer.level is not None:
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -210,7 +210,7 @@
         self._views.clear()
         return fresh
 
-    def unlimited(self, node_id: str) -> None:
+    def clear_limit(self, node_id: str) -> None:
         """Learns that the limit of a guard's backend server has ended."""
         state = self._states.get(node_id)
         if state is not None and state.limited_until_s > 0.0:
--- a/tests/unit/test_limited_guards.py
+++ b/tests/unit/test_limited_guards.py
@@ -69,7 +69,7 @@
 def test_limit_that_has_ended_opens_a_guard_at_once():
     router = _router("n1", "n2")
     router.record_limited("n1", 5.0, 10.0)
-    router.unlimited("n1")
+    router.clear_limit("n1")
     chosen = {router.choose("fees", frozenset(), 10.1) for _ in range(40)}
     assert {target.node_id for target in chosen} == {"n1", "n2"}
 
