--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -297,7 +297,7 @@
     ) -> outcomes.Answer:
         if progress.refusal is not None:
             return progress.refusal
-        limited_s = self.router.limited_s(call.service, time.monotonic())
+        limited_s = self.router.limit_ends_in_s(call.service, time.monotonic())
         if limited_s is not None:
             self.counters.early_refusals += 1
             return outcomes.not_run(outcomes.Reason.LIMITED, limited_s)
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -217,7 +217,7 @@
             state.limited_until_s = -1e9
             self._views.clear()
 
-    def limited_s(self, service: str, now_s: float) -> float | None:
+    def limit_ends_in_s(self, service: str, now_s: float) -> float | None:
         """Returns when there may be room at a service again.
 
         None unless all its guards that could be asked refuse for limits.
--- a/tests/unit/test_limited_guards.py
+++ b/tests/unit/test_limited_guards.py
@@ -97,7 +97,10 @@
         assert answer.outcome is outcomes.Outcome.NOT_RUN
         assert answer.reason is outcomes.Reason.LIMITED
         assert len(asked) == 2
-        assert dispatcher.router.limited_s("fees", time.monotonic()) is not None
+        assert (
+            dispatcher.router.limit_ends_in_s("fees", time.monotonic())
+            is not None
+        )
 
     asyncio.run(scenario())
 
