--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -251,7 +251,7 @@
     def _unanswered(
         self, call: calls.Call, target: guards.Target, unreachable: bool
     ) -> None:
-        ejected = self._router.unanswered(
+        ejected = self._router.record_no_answer(
             target.node_id, unreachable, time.monotonic()
         )
         self._recorder.record(
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -231,7 +231,9 @@
         )
         return max(0.0, until_s - now_s)
 
-    def unanswered(self, node_id: str, unreachable: bool, now_s: float) -> bool:
+    def record_no_answer(
+        self, node_id: str, unreachable: bool, now_s: float
+    ) -> bool:
         """Learns that a call got no answer.
 
         Args:
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -156,7 +156,7 @@
     router = _router("a", "b", "c")
     for _ in range(3):
         router.record_sent("a")
-        router.unanswered("a", False, 1.0)
+        router.record_no_answer("a", False, 1.0)
     assert router.ejected() == ["a"]
     assert "a" not in _choices(router, 1.1)
     assert "a" in _choices(router, 3.0, count=1)
@@ -167,7 +167,7 @@
 def test_ejection_never_empties_a_service():
     router = _router("a", "b", "c", "d")
     for name in "abcd":
-        router.unanswered(name, True, 1.0)
+        router.record_no_answer(name, True, 1.0)
     assert len(_choices(router, 1.1)) == 2
 
 
@@ -186,7 +186,7 @@
 
 def test_new_incarnation_starts_with_a_clean_slate():
     router = _router("a", "b", "c")
-    router.unanswered("a", True, 1.0)
+    router.record_no_answer("a", True, 1.0)
     router.update(
         builders.a_target(n, boot_id=f"{n}-second") for n in ("a", "b", "c")
     )
@@ -249,7 +249,7 @@
     # (or a ticket was minted and never used). Waiting for its answer for
     # ever, the router would never use that guard again.
     router = _router("a", "b", "c")
-    router.unanswered("a", True, 1.0)
+    router.record_no_answer("a", True, 1.0)
     assert _choices(router, 3.0, count=1) == {"a"}
     assert _choices(router, 3.1) == {"b", "c"}
     assert _choices(router, 30.0, count=1) == {"a"}
@@ -257,6 +257,6 @@
 
 def test_tickets_are_not_minted_for_an_ejected_guard():
     router = _router("a", "b", "c")
-    router.unanswered("a", True, 1.0)
+    router.record_no_answer("a", True, 1.0)
     owner = router.choose("fees", frozenset(), 3.0, probe=False)
     assert owner.node_id != "a"
