--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -242,7 +242,7 @@
         return context_lib.encode(context, self.keys)
 
     def _overdue(self, node_id: str) -> None:
-        if self._router.overdue(node_id, time.monotonic()):
+        if self._router.record_overdue(node_id, time.monotonic()):
             self._record_ejection(node_id)
 
     def _record_ejection(self, node_id: str) -> None:
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -253,7 +253,7 @@
             return self._eject(state, now_s)
         return False
 
-    def overdue(self, node_id: str, now_s: float) -> bool:
+    def record_overdue(self, node_id: str, now_s: float) -> bool:
         """Learns that a call is late, though it is still waited for.
 
         Returns:
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -240,7 +240,7 @@
     router = _router("a", "b", "c")
     for _ in range(3):
         router.record_sent("a")
-        router.overdue("a", 1.0)
+        router.record_overdue("a", 1.0)
     assert router.ejected() == ["a"]
 
 
