--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -132,7 +132,7 @@
             return calls.Sent(calls.Fate.LOST)
         except asyncio.CancelledError:
             call.pool.forfeit(attempt_id)
-            self._router.abandoned(target.node_id)
+            self._router.record_cancelled(target.node_id)
             raise
         finally:
             if alarm is not None:
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -265,7 +265,7 @@
         state.silent += 1
         return state.silent >= _SILENT_CALLS and self._eject(state, now_s)
 
-    def abandoned(self, node_id: str) -> None:
+    def record_cancelled(self, node_id: str) -> None:
         """Forgets a call that its caller cancelled: it proves nothing."""
         state = self._states.get(node_id)
         if state is not None:
