--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -259,7 +259,7 @@
             now_s,
             class_name=class_name,
             limit_s=_limit_s(call, now_s),
-            insists=limit_level.insists(call.context),
+            allow_limited=limit_level.insists(call.context),
         )
         if target is None and progress.lost:
             # All were tried; a lost answer may be asked for once more.
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -60,7 +60,7 @@
         probe: bool = True,
         class_name: str = "",
         limit_s: float = math.inf,
-        insists: bool = True,
+        allow_limited: bool = True,
     ) -> guards.Target | None:
         """Returns the guard for a call, or None when there is none left.
 
@@ -72,7 +72,7 @@
                 back. Not for tickets, which tie a confirmation to it.
             class_name: Class of the request, to know how long it takes.
             limit_s: After this the answer is of little value.
-            insists: Whether it goes to a guard that refused for a limit, if
+            allow_limited: Whether it goes to a guard that refused for a limit, if
                 there is no other: what matters most there goes first.
         """
         view = self.candidates(service, tried, now_s)
@@ -80,7 +80,7 @@
             self.begin_probe(view.due, now_s)
             return view.due
         if not view.near and not view.far:
-            if not insists or not view.limited:
+            if not allow_limited or not view.limited:
                 return None
             # The one that opens first would get all of them.
             return self._rng.choice(view.limited)
