--- a/packages/burdockfront-node/src/burdockfront_node/controllers/policies.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/policies.py
@@ -119,7 +119,7 @@
         revision = current.revision if current else 0
         configuration_lib.check_expected(service, expected, revision)
         before = _document_of(current, service)
-        after = policy.changed(before, path, value)
+        after = policy.with_field(before, path, value)
         line = {
             "change_id": change_id,
             "who": who,
--- a/packages/burdockfront/src/burdockfront/policy.py
+++ b/packages/burdockfront/src/burdockfront/policy.py
@@ -195,7 +195,7 @@
     return _PolicyModel.model_validate(document).model_dump(mode="json")
 
 
-def changed(
+def with_field(
     document: dict[str, Any], path: str, value: object
 ) -> dict[str, Any]:
     """Returns a copy of a document with one field set.
--- a/tests/unit/test_state.py
+++ b/tests/unit/test_state.py
@@ -29,7 +29,7 @@
 def test_wrong_field_is_named(path, value, message):
     document = {"service": "fees"}
     with pytest.raises(errors.PolicyError, match=message):
-        policy.changed(document, path, value)
+        policy.with_field(document, path, value)
 
 
 def test_unknown_key_is_refused_with_the_remedy():
@@ -38,7 +38,7 @@
 
 
 def test_class_is_changed_by_its_name():
-    after = policy.changed({"service": "fees"}, "classes.browse.rank", 3)
+    after = policy.with_field({"service": "fees"}, "classes.browse.rank", 3)
     assert policy.parse(after).class_of("GET", "/").rank == 3
 
 
