--- a/packages/burdockfront-client/src/burdockfront_client/calls.py
+++ b/packages/burdockfront-client/src/burdockfront_client/calls.py
@@ -86,7 +86,7 @@
     """
     now_s = time.monotonic()
     deadline_s = min(parent.deadline_s, now_s + longest_s)
-    context = parent.context.narrowed(
+    context = parent.context.for_nested_call(
         attempt_id=parent.context.attempt_id,
         remaining_s=deadline_s - now_s,
         allowance=0,
--- a/packages/burdockfront/src/burdockfront/context.py
+++ b/packages/burdockfront/src/burdockfront/context.py
@@ -76,7 +76,7 @@
             repeated,
         )
 
-    def narrowed(
+    def for_nested_call(
         self, attempt_id: str, remaining_s: float, allowance: int
     ) -> "RequestContext":
         """Returns the context of a call one layer deeper."""
--- a/tests/unit/test_requests.py
+++ b/tests/unit/test_requests.py
@@ -43,7 +43,7 @@
 
 def test_deeper_call_can_not_gain_allowance():
     with pytest.raises(AssertionError, match="gain"):
-        builders.a_context(allowance=1).narrowed("a", 1.0, 2)
+        builders.a_context(allowance=1).for_nested_call("a", 1.0, 2)
 
 
 def test_keys_are_replaced_without_a_gap():
