--- a/packages/burdockfront-client/src/burdockfront_client/wire.py
+++ b/packages/burdockfront-client/src/burdockfront_client/wire.py
@@ -214,7 +214,7 @@
         answer.draining,
         stamp,
         answer.starved,
-        answer.inner,
+        answer.nested_call,
         round(answer.far_kb, 1),
     ]
     if answer.report is not None:
@@ -272,7 +272,7 @@
             load=parts[8],
             draining=parts[9],
             starved=parts[11],
-            inner=parts[12],
+            nested_call=parts[12],
             far_kb=parts[13],
         )
         if len(parts) > _PARTS_WITHOUT_REPORT:
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -384,7 +384,7 @@
             answer.report = self.beliefs.report_to(attempt.told)
         answer.load = self.load()
         answer.draining = not self.takes_work or self.announcement is None
-        answer.inner = context.depth > 0
+        answer.nested_call = context.depth > 0
         answer.far_kb = 0.0
         if self._lineage is not None:
             answer.far_kb = self._lineage.detours_of(context.class_name)
--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -108,7 +108,7 @@
         if call.parent_class:
             self._linked_call_ended(call, answer)
             return
-        if answer.inner:
+        if answer.nested_call:
             self._new_work.discard(class_name)
         elif answer.load is not None:
             # A guard's own word; answers made here say nothing of the kind.
--- a/packages/burdockfront/src/burdockfront/outcomes.py
+++ b/packages/burdockfront/src/burdockfront/outcomes.py
@@ -80,7 +80,7 @@
         load: Slots in use or waited for, divided by the slots.
         draining: The guard that answered takes no new work.
         starved: It failed because a service here or below had no room.
-        inner: The guard takes it for a call of a backend server.
+        nested_call: The guard takes it for a call of a backend server.
         far_kb: Kilobytes between data centres that requests of this class
             cost below the guard that answered, on average.
         said: What the backend server says of itself on it; None if it is not
@@ -102,7 +102,7 @@
     load: float | None = None
     draining: bool = False
     starved: bool = False
-    inner: bool = False
+    nested_call: bool = False
     far_kb: float = 0.0
     said: self_reports.Said | None = None
     report: self_reports.SelfReport | None = None
