--- a/packages/burdockfront/src/burdockfront/guard_estimates.py
+++ b/packages/burdockfront/src/burdockfront/guard_estimates.py
@@ -1,61 +1,67 @@
-"""How likely a guard's answer comes in time, and what the way there moves.
+"""Latency, failure and size estimates for guards and request classes.
 
 Backend servers of one service differ in speed by a factor of two or more, and
-some fail a part of their requests while they look healthy. So a router keeps,
-for each server, how long its answers take beside what is typical for the class
-of request and which part of its requests fail, and for each class how many
-bytes a call and its answer have.
-
-From these follows the chance that an answer is of full value: that it comes at
-all, and before its time limit. Times of one class are spread; the part that
-takes longer than a limit is that of a log-logistic distribution around the
-expected time. Speed that is not needed is worth nothing: while answers take a
-third of what they may, a server twice as quick gains one answer in a hundred.
+some fail a part of their requests while their health checks pass. A router
+therefore estimates, for each server, its answer time relative to the typical
+time of the request class and the share of its requests that fail. For each
+class it also estimates how many bytes a call and its answer have.
+
+From these estimates follows the probability of a useful answer: one that
+arrives at all, and within its time limit. Answer times of one class are
+modelled by a log-logistic distribution around the expected time, whose tail
+beyond the limit is the share of late answers. A faster server therefore gains
+little where answers are far from their limit: while they take a third of the
+allowed time, a server twice as fast gains one answer in a hundred.
 """
 
 import dataclasses
 
+# Weights of a new sample in the moving averages.
 _TYPICAL_WEIGHT = 0.02
-_SPEED_WEIGHT = 0.1
-# The share that is found is off by 0.06 where a server refuses half.
-_FAILING_WEIGHT = 0.03
-# A server that is avoided for its failures is not heard of; what was believed
-# of it fades, or nobody would find out that it is well again.
-_FAILING_BELIEVED_S = 2.0
-_FAILING_FADES_S = 5.0
+_LATENCY_WEIGHT = 0.1
+# Leaves an error of 0.06 in the estimate for a server that refuses half of its
+# requests.
+_FAILURE_WEIGHT = 0.03
+# A server that is avoided for its failures gets no requests that could show its
+# recovery. Its failure rate is therefore kept for the first period without a
+# sample, and decays to zero over the second.
+_FAILURE_KEPT_S = 2.0
+_FAILURE_DECAY_S = 5.0
 _BYTES_WEIGHT = 0.1
-# One answer in a thousand takes many times the usual; it says little.
-_MOST_SAMPLE = 4.0
-# Shape of the distribution of times: the logarithm deviates by 0.45, between
-# steady work (0.3) and work that varies a lot (0.8).
+# Caps outliers: one answer in a thousand takes many times the typical time, and
+# says little about the server.
+_MAX_SAMPLE = 4.0
+# Shape of the log-logistic distribution of answer times: the standard deviation
+# of the logarithm is 0.45, between steady work (0.3) and highly variable work
+# (0.8).
 _SHAPE = 4.0
-# Before a class has been seen: a short answer with its headers.
-_USUAL_KB = 1.0
+# For a class without samples: a short answer with its headers.
+_DEFAULT_KB = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Failing:
-    """The part of a server's requests that fail, when it was last learned."""
+class _FailureRate:
+    """Share of a server's requests that fail, and when it was last updated."""
 
     share: float = 0.0
     at_s: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Class:
-    """What calls of one class to one service are like."""
+class _ClassEstimate:
+    """Typical answer time and size of calls of one class to one service."""
 
     typical_s: float = 0.0
-    kb: float = _USUAL_KB
+    kb: float = _DEFAULT_KB
 
 
 class GuardEstimates:
-    """What one router learned of guards and classes."""
+    """A router's estimates for guards and request classes."""
 
     def __init__(self) -> None:
-        self._classes: dict[tuple[str, str], _Class] = {}
-        self._relative: dict[str, float] = {}
-        self._failing: dict[str, _Failing] = {}
+        self._classes: dict[tuple[str, str], _ClassEstimate] = {}
+        self._relative_latencies: dict[str, float] = {}
+        self._failure_rates: dict[str, _FailureRate] = {}
 
     def record_answer(
         self,
@@ -65,77 +71,87 @@
         elapsed_s: float,
         now_s: float,
     ) -> None:
-        """Learns from a good answer."""
-        if node_id in self._failing:
-            self._learn_failing(node_id, 0.0, now_s)
-        known = self._class_of(service, class_name)
-        typical_s = known.typical_s
+        """Updates the estimates with a successful answer."""
+        if node_id in self._failure_rates:
+            self._update_failure_rate(node_id, 0.0, now_s)
+        estimate = self._class_of(service, class_name)
+        typical_s = estimate.typical_s
         if typical_s <= 0.0:
-            known.typical_s = elapsed_s
+            estimate.typical_s = elapsed_s
             return
-        sample = min(_MOST_SAMPLE, elapsed_s / typical_s)
-        known.typical_s += _TYPICAL_WEIGHT * (elapsed_s - typical_s)
-        before = self._relative.get(node_id, sample)
-        self._relative[node_id] = before + _SPEED_WEIGHT * (sample - before)
+        sample = min(_MAX_SAMPLE, elapsed_s / typical_s)
+        estimate.typical_s += _TYPICAL_WEIGHT * (elapsed_s - typical_s)
+        previous = self._relative_latencies.get(node_id, sample)
+        self._relative_latencies[node_id] = previous + _LATENCY_WEIGHT * (
+            sample - previous
+        )
 
     def record_timeout(
         self, service: str, node_id: str, class_name: str, elapsed_s: float
     ) -> None:
-        """Learns that an answer was given up after so long.
+        """Updates the latency of a guard whose answer timed out.
 
-        Without this a server that never answers in time would look no slower
-        than it was when it last did.
+        Without these samples, a server that never answers in time would keep
+        the latency of its last answer.
+
+        Args:
+            service: The service that was called.
+            node_id: The guard.
+            class_name: Class of the request.
+            elapsed_s: How long the caller waited.
         """
         typical_s = self.typical_s(service, class_name)
         if typical_s <= 0.0:
             return
-        sample = min(_MOST_SAMPLE, elapsed_s / typical_s)
-        before = self._relative.get(node_id, 1.0)
-        if sample > before:
-            self._relative[node_id] = before + _SPEED_WEIGHT * (sample - before)
+        sample = min(_MAX_SAMPLE, elapsed_s / typical_s)
+        previous = self._relative_latencies.get(node_id, 1.0)
+        if sample > previous:
+            self._relative_latencies[node_id] = previous + _LATENCY_WEIGHT * (
+                sample - previous
+            )
 
     def record_size(self, service: str, class_name: str, kb: float) -> None:
-        """Learns how many kilobytes a call and its answer had."""
-        known = self._class_of(service, class_name)
-        known.kb += _BYTES_WEIGHT * (kb - known.kb)
+        """Updates the size of a class with the kilobytes of one call."""
+        estimate = self._class_of(service, class_name)
+        estimate.kb += _BYTES_WEIGHT * (kb - estimate.kb)
 
     def record_failure(self, node_id: str, now_s: float) -> None:
-        """Learns that a server refused, or that its answer was lost."""
-        self._learn_failing(node_id, 1.0, now_s)
+        """Updates the failure rate after a refusal or a lost answer."""
+        self._update_failure_rate(node_id, 1.0, now_s)
 
     def typical_s(self, service: str, class_name: str) -> float:
-        """Returns how long answers of a class take; 0 while unknown."""
-        known = self._classes.get((service, class_name))
-        return known.typical_s if known else 0.0
+        """Returns the typical answer time of a class; 0 while unknown."""
+        estimate = self._classes.get((service, class_name))
+        return estimate.typical_s if estimate else 0.0
 
     def kb_of(self, service: str, class_name: str) -> float:
-        """Returns how many kilobytes a call of a class and its answer have."""
-        known = self._classes.get((service, class_name))
-        return known.kb if known else _USUAL_KB
+        """Returns the kilobytes of a call of a class and its answer."""
+        estimate = self._classes.get((service, class_name))
+        return estimate.kb if estimate else _DEFAULT_KB
 
     def relative_latency(self, node_id: str) -> float:
-        """Returns the time of a server's answers beside what is typical."""
-        return self._relative.get(node_id, 1.0)
+        """Returns a server's answer time relative to the typical time."""
+        return self._relative_latencies.get(node_id, 1.0)
 
     def failure_rate(self, node_id: str, now_s: float) -> float:
-        """Returns the part of a server's requests that fail, about."""
-        known = self._failing.get(node_id)
-        if known is None:
+        """Returns the estimated share of a server's requests that fail."""
+        estimate = self._failure_rates.get(node_id)
+        if estimate is None:
             return 0.0
-        faded_s = now_s - known.at_s - _FAILING_BELIEVED_S
-        if faded_s <= 0.0:
-            return known.share
-        return known.share * max(0.0, 1.0 - faded_s / _FAILING_FADES_S)
+        decaying_s = now_s - estimate.at_s - _FAILURE_KEPT_S
+        if decaying_s <= 0.0:
+            return estimate.share
+        return estimate.share * max(0.0, 1.0 - decaying_s / _FAILURE_DECAY_S)
 
     def success_probability(
         self, node_id: str, expected_s: float, limit_s: float, now_s: float
     ) -> float:
-        """Returns how likely an answer of a server comes, and in time.
+        """Returns the probability that a server answers within a time limit.
 
         Args:
             node_id: The guard beside the server.
-            expected_s: How long an answer will take, waiting and all.
-            limit_s: After this it is of little value, or of none.
+            expected_s: Expected time to the answer, including waiting.
+            limit_s: Time after which the answer has little or no value.
             now_s: The current time.
         """
         late = 1.0
@@ -144,17 +160,19 @@
         return (1.0 - self.failure_rate(node_id, now_s)) * (1.0 - late)
 
     def forget(self, node_id: str) -> None:
-        """Drops what is known of a server that is gone."""
-        self._relative.pop(node_id, None)
-        self._failing.pop(node_id, None)
+        """Drops the estimates for a guard that has left."""
+        self._relative_latencies.pop(node_id, None)
+        self._failure_rates.pop(node_id, None)
 
-    def _learn_failing(self, node_id: str, sample: float, now_s: float) -> None:
+    def _update_failure_rate(
+        self, node_id: str, sample: float, now_s: float
+    ) -> None:
         share = self.failure_rate(node_id, now_s)
-        share += _FAILING_WEIGHT * (sample - share)
-        self._failing[node_id] = _Failing(share, now_s)
-
-    def _class_of(self, service: str, class_name: str) -> _Class:
-        known = self._classes.get((service, class_name))
-        if known is None:
-            known = self._classes[(service, class_name)] = _Class()
-        return known
+        share += _FAILURE_WEIGHT * (sample - share)
+        self._failure_rates[node_id] = _FailureRate(share, now_s)
+
+    def _class_of(self, service: str, class_name: str) -> _ClassEstimate:
+        estimate = self._classes.get((service, class_name))
+        if estimate is None:
+            estimate = self._classes[(service, class_name)] = _ClassEstimate()
+        return estimate
