--- a/packages/burdockfront/src/burdockfront/transfer_costs.py
+++ b/packages/burdockfront/src/burdockfront/transfer_costs.py
@@ -1,153 +1,158 @@
-"""Bytes between data centres that a request costs below the layer it is at.
-
-A call that leaves its data centre moves bytes over a dear way. Where a deep
-service is missing or pressed in one data centre, every call of it leaves: eight
-of them for one browse that stayed. Sent elsewhere at the top, the same request
-costs one way. So each node learns how many kilobytes the requests at its
-backend server cost below, and says so on its answers; whoever chooses a guard
-takes it into account.
-
-Nothing on a call says which request it is made for. What is known is which
-requests were at the backend server when it made the call. Each call is shared
-out among them in proportion to how often requests of their class were found to
-call, which is estimated from the same shares (expectation maximisation for a
-sum of Poisson streams). Classes that make no calls lose their shares within
-seconds: their number goes up and down without the calls following it.
+"""Bytes between data centres that requests cause in the layers below a node.
+
+Transfer between data centres is expensive. Where a deep service is missing or
+overloaded in one data centre, every call to it leaves that data centre: eight
+calls for one browse request that stayed. If the request is sent to another data
+centre at the top, only one call crosses. Each node therefore estimates how many
+kilobytes the requests at its backend server cause below, and reports the
+estimate on its answers. Routers take the reports into account.
+
+A call does not name the request that it is made for. Known is only which
+requests were at the backend server when it made the call. Each call is divided
+among them in proportion to the call rate of their class, which is estimated
+from the same shares (expectation maximisation for a sum of Poisson streams).
+Classes that make no calls lose their shares within seconds, because their
+number of requests in flight varies independently of the calls.
 """
 
 import dataclasses
 import math
 
-# Long enough to hear of each class on a node with tens of requests a second;
-# short enough to follow the loss and return of a server.
-_MEMORY_S = 3.0
-# The plain estimate (1.0) still gave two calls to a class without any after
-# 20 s of 70 requests a second; above 2.0 it would not settle. With 1.5 the
-# error is below a tenth of a call after 8 s, in four drawn streams of requests.
-_OVER_RELAXED = 1.5
-# A guard that is avoided for its detours is asked again after this. Nobody
-# would find out otherwise that the service below it is back.
-_BELIEVED_S = 5.0
-# What a class is taken for that was hardly seen: a call in a tenth of a second.
+# Time constant of the exponential decay of all sums. Long enough to see each
+# class on a node with tens of requests a second; short enough to follow the
+# loss and return of a server.
+_DECAY_S = 3.0
+# Exponent of the call rates when a call is divided. The plain estimate (1.0)
+# still assigned two calls to a class without any after 20 s of 70 requests a
+# second; above 2.0 the estimate does not converge. With 1.5 the error is below
+# a tenth of a call after 8 s, in four random streams of requests.
+_OVER_RELAXATION = 1.5
+# Reports are considered fresh for this time. Afterwards a guard that is avoided
+# for its transfer costs gets requests again; otherwise no router would learn
+# that the service below it has recovered.
+_REPORT_FRESH_S = 5.0
+# Prior for a class with few samples: one call in a tenth of a second.
 _PRIOR_CALLS = 1.0
 _PRIOR_BUSY_S = 0.1
 
 
 @dataclasses.dataclass(slots=True)
-class _Class:
-    """Sums that fade, but for the number of requests at work now."""
+class _ClassCosts:
+    """Decaying sums for one class, and its number of requests in flight."""
 
-    at_work: int = 0
+    in_flight: int = 0
     busy_s: float = 0.0
-    runs: float = 0.0
+    requests: float = 0.0
     calls: float = 0.0
     far_kb: float = 0.0
 
     def calls_per_s(self) -> float:
-        """Returns how often a request of this class calls while at work."""
+        """Returns the call rate of one request of this class in flight."""
         calls = self.calls + _PRIOR_CALLS
         return calls / (self.busy_s + _PRIOR_BUSY_S)
 
 
 class TransferCostTracker:
-    """What one node learned of the requests at its backend server.
+    """Estimates the transfer costs of requests at one node's backend server.
 
     Args:
         now_s: The current time.
     """
 
     def __init__(self, now_s: float):
-        self._classes: dict[str, _Class] = {}
+        self._classes: dict[str, _ClassCosts] = {}
         self._at_s = now_s
 
     def record_start(self, class_name: str, now_s: float) -> None:
-        """Notes that a request is handed to the backend server."""
-        self._fade(now_s)
-        known = self._classes.setdefault(class_name, _Class())
-        known.at_work += 1
-        known.runs += 1.0
+        """Records that a request is handed to the backend server."""
+        self._decay(now_s)
+        costs = self._classes.setdefault(class_name, _ClassCosts())
+        costs.in_flight += 1
+        costs.requests += 1.0
 
     def record_end(self, class_name: str, now_s: float) -> None:
-        """Notes that the backend server is done with a request."""
-        self._fade(now_s)
-        known = self._classes[class_name]
-        assert known.at_work > 0, "a request ends once"
-        known.at_work -= 1
+        """Records that the backend server has finished a request."""
+        self._decay(now_s)
+        costs = self._classes[class_name]
+        assert costs.in_flight > 0, "a request ends once"
+        costs.in_flight -= 1
 
     def record_call(self, far_kb: float, now_s: float) -> None:
-        """Notes a call that the backend server made.
+        """Divides a call of the backend server among the requests in flight.
 
         Args:
-            far_kb: Kilobytes between data centres, there and below.
+            far_kb: Kilobytes between data centres, of the call and below it.
             now_s: The current time.
         """
-        self._fade(now_s)
-        at_work = [known for known in self._classes.values() if known.at_work]
+        self._decay(now_s)
+        in_flight = [
+            costs for costs in self._classes.values() if costs.in_flight
+        ]
         weights = [
-            known.at_work * known.calls_per_s() ** _OVER_RELAXED
-            for known in at_work
+            costs.in_flight * costs.calls_per_s() ** _OVER_RELAXATION
+            for costs in in_flight
         ]
         total = sum(weights)
-        for known, weight in zip(at_work, weights, strict=True):
+        for costs, weight in zip(in_flight, weights, strict=True):
             share = weight / total
-            known.calls += share
-            known.far_kb += share * far_kb
+            costs.calls += share
+            costs.far_kb += share * far_kb
 
     def record_call_of(
         self, class_name: str, far_kb: float, now_s: float
     ) -> None:
-        """Notes a call that is known to be made for a request of a class."""
-        self._fade(now_s)
-        known = self._classes.setdefault(class_name, _Class())
-        known.calls += 1.0
-        known.far_kb += far_kb
+        """Records a call that is known to be made for a request of a class."""
+        self._decay(now_s)
+        costs = self._classes.setdefault(class_name, _ClassCosts())
+        costs.calls += 1.0
+        costs.far_kb += far_kb
 
     def kb_per_request(self, class_name: str) -> float:
-        """Returns the kilobytes that a request of a class costs below."""
-        known = self._classes.get(class_name)
-        if known is None:
+        """Returns the kilobytes that a request of a class causes below."""
+        costs = self._classes.get(class_name)
+        if costs is None:
             return 0.0
-        return known.far_kb / max(1.0, known.runs)
+        return costs.far_kb / max(1.0, costs.requests)
 
-    def _fade(self, now_s: float) -> None:
+    def _decay(self, now_s: float) -> None:
         elapsed_s = now_s - self._at_s
         if elapsed_s <= 0.0:
             return
         self._at_s = now_s
-        kept = math.exp(-elapsed_s / _MEMORY_S)
-        for known in self._classes.values():
-            known.busy_s = known.busy_s * kept + known.at_work * elapsed_s
-            known.runs *= kept
-            known.calls *= kept
-            known.far_kb *= kept
+        kept = math.exp(-elapsed_s / _DECAY_S)
+        for costs in self._classes.values():
+            costs.busy_s = costs.busy_s * kept + costs.in_flight * elapsed_s
+            costs.requests *= kept
+            costs.calls *= kept
+            costs.far_kb *= kept
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Heard:
+class _Report:
     far_kb: float
     at_s: float
 
 
 class ReportedTransferCosts:
-    """What guards said of the bytes below them, at the asking side."""
+    """Latest transfer costs that guards reported, kept by a router."""
 
     def __init__(self) -> None:
-        self._heard: dict[tuple[str, str], _Heard] = {}
+        self._reports: dict[tuple[str, str], _Report] = {}
 
     def record_report(
         self, node_id: str, class_name: str, far_kb: float, now_s: float
     ) -> None:
-        """Takes what a guard said on an answer."""
-        self._heard[(node_id, class_name)] = _Heard(far_kb, now_s)
+        """Records the kilobytes that a guard reported on an answer."""
+        self._reports[(node_id, class_name)] = _Report(far_kb, now_s)
 
     def kb_of(self, node_id: str, class_name: str, now_s: float) -> float:
-        """Returns what a guard said; 0.0 if that is long ago, or never."""
-        heard = self._heard.get((node_id, class_name))
-        if heard is None or now_s - heard.at_s > _BELIEVED_S:
+        """Returns the reported kilobytes; 0.0 without a fresh report."""
+        report = self._reports.get((node_id, class_name))
+        if report is None or now_s - report.at_s > _REPORT_FRESH_S:
             return 0.0
-        return heard.far_kb
+        return report.far_kb
 
     def forget(self, node_id: str) -> None:
-        """Drops what is known of a guard that is gone."""
-        for key in [key for key in self._heard if key[0] == node_id]:
-            del self._heard[key]
+        """Drops the reports of a guard that has left."""
+        for key in [key for key in self._reports if key[0] == node_id]:
+            del self._reports[key]
