--- a/packages/burdockfront/src/burdockfront/call_correlation.py
+++ b/packages/burdockfront/src/burdockfront/call_correlation.py
@@ -4,8 +4,8 @@
 may still show which request it is made for: many conventions derive it from the
 id of the request, by appending to that id behind a separator. This is detected
 instead of configured: an id that extends the id of a request which is at the
-backend server now is that of a call made for it, because no other
-sender knows such an id.
+backend server now is that of a call made for it, because no other sender knows
+such an id.
 
 A call whose request is found inherits its rank and ordinal. Otherwise each call
 of one browse request draws an ordinal of its own, and overloaded layers refuse
--- a/packages/burdockfront/src/burdockfront/guards.py
+++ b/packages/burdockfront/src/burdockfront/guards.py
@@ -1,15 +1,16 @@
-"""The guards that a router knows, and which of them are in use.
-
-What is trusted: calls in flight are our own count. The load on an answer was
-counted by the guard, not reported by the backend server, and fades with age.
-Load reports of backend servers, which lag and mislead, take no part.
-
-A guard that leaves answers out is ejected: after `_SILENT_CALLS` calls in a
-row without an answer, or when it can't be reached. An ejected guard gets one
-probe call at a time, with a growing pause; the first answer brings it back.
-At least half of a service is always kept in use: when more seem bad, the
-router's own view (or its network) is the likelier culprit, and emptying the
-service would turn a doubt into an outage.
+"""The guards that a router knows, and which of them may get calls.
+
+Routing uses only numbers that the router or the guard has counted. Calls in
+flight are the router's own count. The load on an answer is counted by the guard
+and loses weight with age. Load reports of backend servers lag and can be wrong,
+so they are not used here.
+
+A guard that stops answering is ejected: after `_MAX_UNANSWERED` calls in a row
+without an answer, or when no connection can be made. An ejected guard gets one
+probe call at a time, at growing intervals; its first answer ends the ejection.
+At least half of the guards of a service always stay in use: when more seem to
+have failed, the fault is more likely in the router's own view or network, and
+ejecting all of them would turn a false suspicion into an outage.
 """
 
 import dataclasses
@@ -17,32 +18,32 @@
 import random
 from collections.abc import Iterable
 
-_SILENT_CALLS = 3
-_FIRST_PAUSE_S = 0.5
-_MAX_PAUSE_S = 8.0
-_KEPT_SHARE = 0.5
-_LOAD_FADES_S = 1.0
-_DRAIN_BELIEVED_S = 5.0
-# Routers that were refused in one moment return spread over so much of the time
-# that they were told.
-_AWAY_SPREAD = (0.5, 1.5)
-# Refused again sooner than this, it is still the same limit.
+_MAX_UNANSWERED = 3
+_MIN_PROBE_INTERVAL_S = 0.5
+_MAX_PROBE_INTERVAL_S = 8.0
+_MIN_USABLE_SHARE = 0.5
+_LOAD_DECAY_S = 1.0
+_DRAINING_FRESH_S = 5.0
+# Bounds of the random factor on the time that a limited guard is avoided, so
+# that routers that were refused at the same moment do not return together.
+_LIMIT_JITTER = (0.5, 1.5)
+# A guard that refuses again within this time is still under the same limit.
 _SAME_LIMIT_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A guard beside a backend server, as membership knows it.
+    """A guard and its backend server, as known from membership.
 
     Attributes:
-        node_id: The node.
-        boot_id: The node's process.
-        service: Service of the backend server beside it.
-        address: Where the node takes calls of nodes, `ip:port`.
-        data_center: Its data centre.
-        slots: Slots of the backend server that its guard believes.
-        draining: It takes no new work.
-        suspect: Members doubt that it is alive.
+        node_id: Id of the node that runs the guard.
+        boot_id: Id of the node's process.
+        service: Service of the backend server beside the guard.
+        address: Where the node accepts calls from other nodes, `ip:port`.
+        data_center: Data centre of the node.
+        slots: Concurrency slots of the backend server, as its guard assumes.
+        draining: Whether the guard takes no new work.
+        suspect: Whether membership suspects that the node has failed.
     """
 
     node_id: str
@@ -59,13 +60,13 @@
 class _State:
     boot_id: str
     in_flight: int = 0
-    silent: int = 0
+    unanswered: int = 0
     load: float = 0.0
     load_at_s: float = -1e9
     ejected: bool = False
-    pause_s: float = _FIRST_PAUSE_S
+    probe_interval_s: float = _MIN_PROBE_INTERVAL_S
     probe_at_s: float = 0.0
-    drained_at_s: float = -1e9
+    draining_at_s: float = -1e9
     limited_until_s: float = -1e9
 
 
@@ -74,26 +75,26 @@
     """The guards of a service that may get a call.
 
     Attributes:
-        near: Those of our own data centre.
-        far: All others.
-        limited: Those that refused for a limit of their backend servers, and
-            are not to be asked again yet.
-        due: An ejected one that is to be probed now.
-        until_s: When it must be looked at anew, if nothing changes before.
+        near: Usable guards in the router's own data centre.
+        far: Usable guards in other data centres.
+        limited: Guards that refused for a limit of their backend servers, and
+            are not to be called again yet.
+        probe_due: An ejected guard that is to be probed now.
+        valid_until_s: When the selection expires, if nothing changes before.
     """
 
     near: list[Target]
     far: list[Target]
     limited: list[Target]
-    due: Target | None
-    until_s: float
+    probe_due: Target | None
+    valid_until_s: float
 
 
 class GuardSet:
-    """Knows guards, and learns from what became of calls.
+    """Tracks guards and the results of calls to them.
 
     Args:
-        data_center: Where this router runs.
+        data_center: Data centre of this router.
         rng: Source of randomness.
     """
 
@@ -102,10 +103,10 @@
         self._rng = rng
         self._targets: dict[str, dict[str, Target]] = {}
         self._states: dict[str, _State] = {}
-        self._views: dict[str, Candidates] = {}
+        self._candidates: dict[str, Candidates] = {}
 
     def update(self, targets: Iterable[Target]) -> None:
-        """Takes the backend servers that membership knows now."""
+        """Replaces the known guards by those in the current membership."""
         by_service: dict[str, dict[str, Target]] = {}
         for target in targets:
             by_service.setdefault(target.service, {})[target.node_id] = target
@@ -113,7 +114,7 @@
             if state is None or state.boot_id != target.boot_id:
                 self._states[target.node_id] = _State(target.boot_id)
         self._targets = by_service
-        self._views.clear()
+        self._candidates.clear()
         known = {name for group in by_service.values() for name in group}
         for node_id in list(self._states):
             if node_id not in known:
@@ -121,14 +122,14 @@
                 self.forget(node_id)
 
     def forget(self, node_id: str) -> None:
-        """Drops what else is known of a guard that is gone."""
+        """Drops further state of a guard that has left; for subclasses."""
 
     def is_far(self, target: Target) -> bool:
-        """Whether a guard is in another data centre."""
+        """Returns whether a guard is in another data centre."""
         return target.data_center != self._data_center
 
     def services(self) -> list[str]:
-        """Returns the names of known services."""
+        """Returns the names of all known services, sorted."""
         return sorted(self._targets)
 
     def targets_of(self, service: str) -> list[Target]:
@@ -136,36 +137,43 @@
         return list(self._targets.get(service, {}).values())
 
     def find(self, service: str, node_id: str) -> Target | None:
-        """Returns one guard by name."""
+        """Returns the guard on a node, or None."""
         return self._targets.get(service, {}).get(node_id)
 
     def candidates(
         self, service: str, tried: frozenset[str], now_s: float
     ) -> Candidates:
-        """Returns which guards may get a call.
+        """Returns the guards that may get a call.
 
-        For first tries it is kept until something changes: looking at each
-        guard for each call costs more the larger the service is.
+        The result for first tries is cached until something changes, because
+        the cost of checking each guard for each call grows with the service.
+
+        Args:
+            service: The service to call.
+            tried: Guards that this call has tried already.
+            now_s: The current time.
         """
         if tried:
-            return self._look(service, tried, now_s)
-        view = self._views.get(service)
-        if view is None or now_s >= view.until_s:
-            view = self._views[service] = self._look(service, tried, now_s)
-        return view
+            return self._select_candidates(service, tried, now_s)
+        candidates = self._candidates.get(service)
+        if candidates is None or now_s >= candidates.valid_until_s:
+            candidates = self._candidates[service] = self._select_candidates(
+                service, tried, now_s
+            )
+        return candidates
 
     def begin_probe(self, target: Target, now_s: float) -> None:
-        """Notes that a call finds out whether an ejected guard is back.
+        """Records that a call is about to probe an ejected guard.
 
-        Whoever asked may never send it; so no answer is waited for, and the
-        next probe is due after another pause.
+        The call may never be sent, so no answer is awaited: the next probe is
+        due after another interval.
         """
         state = self._states[target.node_id]
-        state.probe_at_s = now_s + state.pause_s
-        self._views.clear()
+        state.probe_at_s = now_s + state.probe_interval_s
+        self._candidates.clear()
 
     def record_sent(self, node_id: str) -> None:
-        """Counts a call on its way."""
+        """Counts a call as in flight."""
         state = self._states.get(node_id)
         if state is not None:
             state.in_flight += 1
@@ -173,100 +181,109 @@
     def record_answer(
         self, node_id: str, load: float | None, draining: bool, now_s: float
     ) -> None:
-        """Learns from any answer of a guard: it is alive."""
+        """Records an answer of a guard, which shows that it is alive.
+
+        Args:
+            node_id: The guard.
+            load: Load that the guard reported on the answer.
+            draining: Whether the guard reported that it takes no new work.
+            now_s: The current time.
+        """
         state = self._states.get(node_id)
         if state is None:
             return
         state.in_flight = max(0, state.in_flight - 1)
-        state.silent = 0
+        state.unanswered = 0
         if state.ejected:
             state.ejected = False
-            state.pause_s = _FIRST_PAUSE_S
-            self._views.clear()
+            state.probe_interval_s = _MIN_PROBE_INTERVAL_S
+            self._candidates.clear()
         if load is not None:
             state.load = load
             state.load_at_s = now_s
         if draining:
-            state.drained_at_s = now_s
-            self._views.clear()
+            state.draining_at_s = now_s
+            self._candidates.clear()
 
-    def record_limited(self, node_id: str, away_s: float, now_s: float) -> bool:
-        """Learns that a guard refused for a limit of its backend server.
+    def record_limited(
+        self, node_id: str, retry_after_s: float, now_s: float
+    ) -> bool:
+        """Records that a guard refused for a limit of its backend server.
 
         Args:
             node_id: The guard.
-            away_s: How long it says to stay away.
+            retry_after_s: Time that the guard asked callers to wait.
             now_s: The current time.
 
         Returns:
-            Whether that is news.
+            Whether this is a new limit.
         """
         state = self._states.get(node_id)
         if state is None:
             return False
-        fresh = now_s > state.limited_until_s + _SAME_LIMIT_S
-        spread = self._rng.uniform(*_AWAY_SPREAD)
-        state.limited_until_s = now_s + away_s * spread
-        self._views.clear()
-        return fresh
+        is_new = now_s > state.limited_until_s + _SAME_LIMIT_S
+        jitter = self._rng.uniform(*_LIMIT_JITTER)
+        state.limited_until_s = now_s + retry_after_s * jitter
+        self._candidates.clear()
+        return is_new
 
     def clear_limit(self, node_id: str) -> None:
-        """Learns that the limit of a guard's backend server has ended."""
+        """Records that the limit of a guard's backend server has ended."""
         state = self._states.get(node_id)
         if state is not None and state.limited_until_s > 0.0:
             state.limited_until_s = -1e9
-            self._views.clear()
+            self._candidates.clear()
 
     def limit_ends_in_s(self, service: str, now_s: float) -> float | None:
-        """Returns when there may be room at a service again.
+        """Returns the time until the first limit of a service's guards ends.
 
-        None unless all its guards that could be asked refuse for limits.
+        None unless all guards of the service that may get calls are limited.
         """
-        view = self.candidates(service, frozenset(), now_s)
-        if view.near or view.far or not view.limited:
+        candidates = self.candidates(service, frozenset(), now_s)
+        if candidates.near or candidates.far or not candidates.limited:
             return None
         until_s = min(
             self._states[target.node_id].limited_until_s
-            for target in view.limited
+            for target in candidates.limited
         )
         return max(0.0, until_s - now_s)
 
     def record_no_answer(
         self, node_id: str, unreachable: bool, now_s: float
     ) -> bool:
-        """Learns that a call got no answer.
+        """Records that a call got no answer.
 
         Args:
             node_id: The guard.
-            unreachable: No connection could be made at all.
+            unreachable: Whether no connection could be made.
             now_s: The current time.
 
         Returns:
-            Whether the guard was ejected just now.
+            Whether this ejected the guard.
         """
         state = self._states.get(node_id)
         if state is None:
             return False
         state.in_flight = max(0, state.in_flight - 1)
-        state.silent += _SILENT_CALLS if unreachable else 1
-        if state.silent >= _SILENT_CALLS:
+        state.unanswered += _MAX_UNANSWERED if unreachable else 1
+        if state.unanswered >= _MAX_UNANSWERED:
             return self._eject(state, now_s)
         return False
 
     def record_overdue(self, node_id: str, now_s: float) -> bool:
-        """Learns that a call is late, though it is still waited for.
+        """Records that a call is overdue while its answer is still awaited.
 
         Returns:
-            Whether the guard was ejected just now.
+            Whether this ejected the guard.
         """
         state = self._states.get(node_id)
         if state is None:
             return False
-        state.silent += 1
-        return state.silent >= _SILENT_CALLS and self._eject(state, now_s)
+        state.unanswered += 1
+        return state.unanswered >= _MAX_UNANSWERED and self._eject(state, now_s)
 
     def record_cancelled(self, node_id: str) -> None:
-        """Forgets a call that its caller cancelled: it proves nothing."""
+        """Removes a cancelled call, which says nothing about the guard."""
         state = self._states.get(node_id)
         if state is not None:
             state.in_flight = max(0, state.in_flight - 1)
@@ -276,64 +293,70 @@
         return sorted(n for n, s in self._states.items() if s.ejected)
 
     def _eject(self, state: _State, now_s: float) -> bool:
-        fresh = not state.ejected
-        if not fresh:
-            state.pause_s = min(_MAX_PAUSE_S, state.pause_s * 2)
+        is_new = not state.ejected
+        if not is_new:
+            state.probe_interval_s = min(
+                _MAX_PROBE_INTERVAL_S, state.probe_interval_s * 2
+            )
         state.ejected = True
         jitter = self._rng.uniform(0.8, 1.2)
-        state.probe_at_s = now_s + state.pause_s * jitter
-        self._views.clear()
-        return fresh
+        state.probe_at_s = now_s + state.probe_interval_s * jitter
+        self._candidates.clear()
+        return is_new
 
-    def _doubted(self, target: Target) -> bool:
+    def _is_suspect(self, target: Target) -> bool:
         return target.suspect or self._states[target.node_id].ejected
 
     def score(self, target: Target, now_s: float) -> float:
-        """Returns slots used or asked for, per slot; a further call's too."""
+        """Returns the load per slot of a guard with one more call.
+
+        Adds the calls in flight from this router to the load that the guard
+        reported, which loses weight with age.
+        """
         state = self._states[target.node_id]
         age_s = now_s - state.load_at_s
-        trust = max(0.0, 1.0 - age_s / _LOAD_FADES_S)
+        weight = max(0.0, 1.0 - age_s / _LOAD_DECAY_S)
         slots = max(1, target.slots)
-        return (state.in_flight + 1) / slots + trust * state.load
+        return (state.in_flight + 1) / slots + weight * state.load
 
-    def _look(
+    def _select_candidates(
         self, service: str, tried: frozenset[str], now_s: float
     ) -> Candidates:
         open_targets = []
         limited = []
-        due = None
-        until_s = math.inf
+        probe_due = None
+        valid_until_s = math.inf
         for target in self._targets.get(service, {}).values():
             if target.draining or target.node_id in tried:
                 continue
             state = self._states[target.node_id]
-            believed_s = state.drained_at_s + _DRAIN_BELIEVED_S
-            if now_s <= believed_s:
-                until_s = min(until_s, believed_s)
+            draining_until_s = state.draining_at_s + _DRAINING_FRESH_S
+            if now_s <= draining_until_s:
+                valid_until_s = min(valid_until_s, draining_until_s)
                 continue
             if now_s < state.limited_until_s:
-                until_s = min(until_s, state.limited_until_s)
+                valid_until_s = min(valid_until_s, state.limited_until_s)
                 limited.append(target)
                 continue
             open_targets.append(target)
             if not state.ejected:
                 continue
             if now_s < state.probe_at_s:
-                until_s = min(until_s, state.probe_at_s)
-            elif due is None:
-                due = target
-        usable = [t for t in open_targets if not self._doubted(t)]
-        usable = self._with_floor(open_targets, usable)
+                valid_until_s = min(valid_until_s, state.probe_at_s)
+            elif probe_due is None:
+                probe_due = target
+        usable = [t for t in open_targets if not self._is_suspect(t)]
+        usable = self._with_min_share(open_targets, usable)
         near = [t for t in usable if t.data_center == self._data_center]
         far = [t for t in usable if t.data_center != self._data_center]
-        return Candidates(near, far, limited, due, until_s)
+        return Candidates(near, far, limited, probe_due, valid_until_s)
 
-    def _with_floor(
+    def _with_min_share(
         self, targets: list[Target], usable: list[Target]
     ) -> list[Target]:
-        floor = int(len(targets) * _KEPT_SHARE + 0.5)
-        if len(usable) >= floor:
+        min_count = int(len(targets) * _MIN_USABLE_SHARE + 0.5)
+        if len(usable) >= min_count:
             return usable
         ejected = [t for t in targets if t not in usable]
-        ejected.sort(key=lambda t: self._states[t.node_id].pause_s)
-        return usable + ejected[: floor - len(usable)]
+        ejected.sort(key=lambda t: self._states[t.node_id].probe_interval_s)
+        return usable + ejected[: min_count - len(usable)]
--- a/packages/burdockfront/src/burdockfront/routing.py
+++ b/packages/burdockfront/src/burdockfront/routing.py
@@ -1,11 +1,14 @@
-"""Which backend server gets a call.
-
-Work stays in its own data centre unless answers in time pay for the way (see
-`Router._nearest_unless_late`). Two candidates are drawn at random and the
-better one is taken: with many routers that each see only a part of the load,
-"the best of all" would send all of them to the same server at once. Better
-means likelier to answer in time; where two are alike in that, fewer calls of
-ours in flight plus the load that its guard told on its last answer, per slot.
+"""Choice of the guard, and so of the backend server, that gets a call.
+
+Work stays in its own data centre unless a higher probability of an answer in
+time outweighs the cost of the transfer (see `Router._nearest_unless_late`).
+
+Two candidates are drawn at random and the better one is taken: many routers
+that each see only a part of the load would otherwise all send to the same best
+server at once. The better candidate is the one that is more likely to answer in
+time; where both are about equally likely, the one with the lower load per slot,
+from the router's own calls in flight and the load that the guard reported on
+its last answer.
 """
 
 import math
@@ -15,31 +18,40 @@
 from burdockfront import guards
 from burdockfront import transfer_costs
 
-# A guard at 1.0 has all slots in use: the next call waits.
-_PRESSED = 1.0
-# Kilobytes between data centres that one more answer in time is worth. Callers
-# count answers, those who pay for the way count bytes; where ways cost most
-# this is 8 KB, where they cost least 67 KB, by the prices of three deployments.
+# Load per slot at which all slots of a guard are in use: the next call waits.
+_FULL_LOAD = 1.0
+# Kilobytes between data centres that one more answer in time is worth: callers
+# gain by answers, operators pay for transfer by the byte. By the prices of
+# three deployments this is 8 KB where transfer costs most, and 67 KB where it
+# costs least.
 _KB_PER_ANSWER = 16.0
-# Smaller differences are chance: what is known of a server that fails a part of
-# its requests, and of one that was hardly asked, is off by as much.
-_LEAST_GAIN = 0.1
-# Kilobytes to save before a request leaves. In an overload of all data centres
-# calls leave each of them, now more, now less; that difference is chance.
-_LEAST_SAVED_KB = 1.0
-# From this share on all requests leave for the sake of what is saved.
-_SAVED_SHARE = 0.33
-# No bytes are saved for more than one answer in twenty.
-_HARM = 0.05
-_UNKNOWN_S = 0.05
+# Smaller differences in probability are noise: the estimates for a server that
+# fails a part of its requests, and for one with few requests, are off by as
+# much.
+_MIN_GAIN = 0.1
+# Kilobytes to save before a request leaves its data centre. In an overload of
+# all data centres, calls leave each of them in varying numbers, and smaller
+# differences are noise.
+_MIN_SAVED_KB = 1.0
+# Where at least this share of the transfer costs is saved, all requests leave.
+_FULL_SAVED_SHARE = 0.33
+# Largest loss in the probability of an answer in time, one answer in twenty,
+# that is accepted to save transfer costs.
+_MAX_LOSS = 0.05
+# Typical answer time of a class without samples.
+_DEFAULT_TYPICAL_S = 0.05
 
 
 class Router(guards.GuardSet):
-    """Chooses guards.
+    """Chooses guards for calls.
 
     Args:
-        data_center: Where this router runs; its own data centre is preferred.
+        data_center: Data centre of this router, which is preferred.
         rng: Source of randomness.
+
+    Attributes:
+        estimates: Latency, failure and size estimates.
+        transfer_costs: Transfer costs that guards reported.
     """
 
     def __init__(self, data_center: str, rng: random.Random):
@@ -48,7 +60,7 @@
         self.transfer_costs = transfer_costs.ReportedTransferCosts()
 
     def forget(self, node_id: str) -> None:
-        """Drops what is known of a guard that is gone."""
+        """Drops the estimates and reports of a guard that has left."""
         self.estimates.forget(node_id)
         self.transfer_costs.forget(node_id)
 
@@ -65,27 +77,28 @@
         """Returns the guard for a call, or None when there is none left.
 
         Args:
-            service: The wanted service.
+            service: The service to call.
             tried: Guards that this call has tried already.
             now_s: The current time.
-            probe: Whether this call may find out if an ejected guard is
-                back. Not for tickets, which tie a confirmation to it.
-            class_name: Class of the request, to know how long it takes.
-            limit_s: After this the answer is of little value.
-            allow_limited: Whether it goes to a guard that refused for a limit, if
-                there is no other: what matters most there goes first.
+            probe: Whether this call may probe an ejected guard. Not for
+                tickets, which tie a confirmation to the guard.
+            class_name: Class of the request, for its typical answer time.
+            limit_s: Time after which the answer has little value.
+            allow_limited: Whether a guard that refused for a limit is chosen
+                if there is no other. Its server takes the most important
+                requests first.
         """
-        view = self.candidates(service, tried, now_s)
-        if probe and view.due is not None:
-            self.begin_probe(view.due, now_s)
-            return view.due
-        if not view.near and not view.far:
-            if not allow_limited or not view.limited:
+        candidates = self.candidates(service, tried, now_s)
+        if probe and candidates.probe_due is not None:
+            self.begin_probe(candidates.probe_due, now_s)
+            return candidates.probe_due
+        if not candidates.near and not candidates.far:
+            if not allow_limited or not candidates.limited:
                 return None
-            # The one that opens first would get all of them.
-            return self._rng.choice(view.limited)
+            # If the first limit to end decided, one guard would get all calls.
+            return self._rng.choice(candidates.limited)
         return self._nearest_unless_late(
-            service, class_name, limit_s, view, now_s
+            service, class_name, limit_s, candidates, now_s
         )
 
     def _nearest_unless_late(
@@ -93,99 +106,105 @@
         service: str,
         class_name: str,
         limit_s: float,
-        view: guards.Candidates,
+        candidates: guards.Candidates,
         now_s: float,
     ) -> guards.Target:
-        """Returns a guard of our data centre, unless another one is worth it.
-
-        Ways between data centres are paid for by the byte. So work leaves its
-        own only if the chance of an answer in time rises by more than the way
-        costs. Judged by time alone, a quarter of all requests with large
-        bodies went to quicker servers elsewhere that few of them needed, two
-        thirds of all bytes on a quiet day. Judged by nearness alone, one data
-        centre drowns, or is always late, beside idle ones.
+        """Returns a near guard, unless a far one is worth the transfer.
+
+        Transfer between data centres is paid for by the byte. A call leaves
+        its data centre only if the probability of an answer in time rises by
+        more than the transfer costs. With a choice by time alone, a quarter of
+        all requests with large bodies went to faster servers in other data
+        centres, which few of them needed, and caused two thirds of all bytes on
+        a quiet day. With a choice by distance alone, one data centre is
+        overloaded, or always late, beside idle ones.
         """
-        typical_s = self.estimates.typical_s(service, class_name) or _UNKNOWN_S
-        if not view.near:
-            return self._better_of_two(view.far, typical_s, limit_s, now_s)
-        best = self._better_of_two(view.near, typical_s, limit_s, now_s)
-        if not view.far:
+        typical_s = (
+            self.estimates.typical_s(service, class_name) or _DEFAULT_TYPICAL_S
+        )
+        if not candidates.near:
+            return self._better_of_two(
+                candidates.far, typical_s, limit_s, now_s
+            )
+        best = self._better_of_two(candidates.near, typical_s, limit_s, now_s)
+        if not candidates.far:
             return best
-        other = self._sooner_of_two(view.far, typical_s, now_s)
-        gained = self._chance(other, typical_s, limit_s, now_s)
-        gained -= self._chance(best, typical_s, limit_s, now_s)
-        way_kb = self.estimates.kb_of(service, class_name)
-        if gained > max(_LEAST_GAIN, way_kb / _KB_PER_ANSWER):
+        other = self._faster_of_two(candidates.far, typical_s, now_s)
+        gain = self._success_probability(other, typical_s, limit_s, now_s)
+        gain -= self._success_probability(best, typical_s, limit_s, now_s)
+        transfer_kb = self.estimates.kb_of(service, class_name)
+        if gain > max(_MIN_GAIN, transfer_kb / _KB_PER_ANSWER):
             return other
-        harms = gained < -_HARM
-        if not harms and self._saves_ways(
-            best, other, class_name, way_kb, now_s
+        loses_answers = gain < -_MAX_LOSS
+        if not loses_answers and self._saves_transfer(
+            best, other, class_name, transfer_kb, now_s
         ):
             return other
         return best
 
-    def _chance(
+    def _success_probability(
         self,
         target: guards.Target,
         typical_s: float,
         limit_s: float,
         now_s: float,
     ) -> float:
-        """Returns how likely a guard's answer comes, and in time."""
+        """Returns the probability that a guard answers in time."""
         expected_s = self._expected_s(target, typical_s, now_s)
         return self.estimates.success_probability(
             target.node_id, expected_s, limit_s, now_s
         )
 
-    def _saves_ways(
+    def _saves_transfer(
         self,
         near: guards.Target,
         far: guards.Target,
         class_name: str,
-        way_kb: float,
+        transfer_kb: float,
         now_s: float,
     ) -> bool:
-        """Whether a request should leave here, since its calls would below.
-
-        All of them where it saves a third of what a request costs or more: a
-        service is missing here, and its work is done elsewhere in any case.
-        Below that in proportion to what is saved. What guards say is a second
-        old, and a data centre that got everybody's requests for a small gain
-        would be the next to be left.
+        """Returns whether a request should leave to save transfer below.
+
+        All requests leave where that saves a third of their transfer costs or
+        more: a service is missing in this data centre, and its work is done
+        elsewhere in any case. Below a third, requests leave in proportion to
+        the saving. The reports of guards are up to a second old, and a data
+        centre that received the requests of all others for a small saving would
+        be the next one to be left.
         """
-        stays_kb = self.transfer_costs.kb_of(near.node_id, class_name, now_s)
-        goes_kb = way_kb + self.transfer_costs.kb_of(
+        near_kb = self.transfer_costs.kb_of(near.node_id, class_name, now_s)
+        far_kb = transfer_kb + self.transfer_costs.kb_of(
             far.node_id, class_name, now_s
         )
-        saved_kb = stays_kb - goes_kb - _LEAST_SAVED_KB
-        return self._rng.random() * _SAVED_SHARE * stays_kb < saved_kb
+        saved_kb = near_kb - far_kb - _MIN_SAVED_KB
+        return self._rng.random() * _FULL_SAVED_SHARE * near_kb < saved_kb
 
     def _expected_s(
         self, target: guards.Target, typical_s: float, now_s: float
     ) -> float:
-        """Returns how long an answer of a guard will take from now on."""
-        waiting = max(0.0, self.score(target, now_s) - _PRESSED)
+        """Returns the expected time to an answer of a guard."""
+        waiting = max(0.0, self.score(target, now_s) - _FULL_LOAD)
         return (
             typical_s
             * self.estimates.relative_latency(target.node_id)
             * (1.0 + waiting)
         )
 
-    def _sooner_of_two(
+    def _faster_of_two(
         self, targets: list[guards.Target], typical_s: float, now_s: float
     ) -> guards.Target:
-        """Draws two, and returns the one that answers sooner."""
-        first, second = self._two_of(targets)
+        """Draws two guards, and returns the one expected to answer sooner."""
+        first, second = self._draw_two(targets)
         if second is first:
             return first
         first_s = self._expected_s(first, typical_s, now_s)
         second_s = self._expected_s(second, typical_s, now_s)
         return first if first_s <= second_s else second
 
-    def _two_of(
+    def _draw_two(
         self, targets: list[guards.Target]
     ) -> tuple[guards.Target, guards.Target]:
-        """Draws two; the same one twice if there is no other."""
+        """Draws two guards; the same one twice if there is only one."""
         count = len(targets)
         if count == 1:
             return targets[0], targets[0]
@@ -200,19 +219,19 @@
         limit_s: float,
         now_s: float,
     ) -> guards.Target:
-        """Draws two, and returns the better one.
+        """Draws two guards, and returns the better one.
 
-        The one whose answer is more likely to come, and in time; where that
-        is about the same, the one with more room.
+        That is the one more likely to answer in time; where the difference is
+        small, the one with the lower load per slot.
         """
-        first, second = self._two_of(targets)
+        first, second = self._draw_two(targets)
         if second is first:
             return first
-        gained = self._chance(first, typical_s, limit_s, now_s)
-        gained -= self._chance(second, typical_s, limit_s, now_s)
-        if gained > _LEAST_GAIN:
+        gain = self._success_probability(first, typical_s, limit_s, now_s)
+        gain -= self._success_probability(second, typical_s, limit_s, now_s)
+        if gain > _MIN_GAIN:
             return first
-        if gained < -_LEAST_GAIN:
+        if gain < -_MIN_GAIN:
             return second
         if self.score(first, now_s) <= self.score(second, now_s):
             return first
