--- a/packages/burdockfront/src/burdockfront/context.py
+++ b/packages/burdockfront/src/burdockfront/context.py
@@ -1,9 +1,9 @@
-"""What travels with a request through all layers.
+"""Request context that is propagated through all layers.
 
-The entry node makes the context once; every later layer only narrows it. It
-is signed, so a caller can't forge a priority, and a backend server passes it
-on as an opaque header. Deadlines travel as remaining time, never as a wall
-clock time, because the clocks of two VMs disagree.
+The entry node creates the context; later layers can only reduce its budgets. It
+is signed, so callers can't forge a priority, and backend servers pass it on as
+an opaque header. Deadlines are sent as remaining time, never as wall clock
+time, because the clocks of two VMs disagree.
 """
 
 import dataclasses
@@ -22,21 +22,22 @@
 class RequestContext:
     """The identity, priority and budgets of one call.
 
-    Nobody changes one; that it could be changed halves the time to make one,
-    and each call makes several.
+    Instances are never modified. The class is not frozen, because a frozen one
+    takes twice as long to create, and each call creates several.
 
     Attributes:
-        request_id: The same in all layers of one request.
-        attempt_id: Names this one attempt; the next hop echoes it.
+        request_id: Id of the request, the same in all layers.
+        attempt_id: Id of this attempt, which the next hop echoes.
         class_name: Class that the entry service's policy gave the request.
         rank: Rank of the class; 0 is shed last.
-        ordinal: 0 to 255, the same in all layers. Layers under pressure
-            shed the same requests, so a request survives whole or not at all.
+        ordinal: 0 to 255, the same in all layers. Overloaded layers therefore
+            shed the same requests, and a request completes as a whole or not
+            at all.
         depth: Number of layers above; 0 at the entry.
         remaining_s: Time left until the deadline.
-        allowance: Retries that this call and all below it may spend.
-        parent: Attempt that made this call, for the time line.
-        repeated: This attempt, or one above it, was not the first try.
+        allowance: Retries that this call and all calls below it may use.
+        parent: Id of the attempt that made this call, for the timeline.
+        repeated: Whether this attempt, or one above it, is a retry.
     """
 
     request_id: str
@@ -52,7 +53,7 @@
 
     @property
     def priority(self) -> int:
-        """One number for shedding: the smaller, the later it is shed."""
+        """Priority for shedding: smaller numbers are shed later."""
         return self.rank * ORDINALS + self.ordinal
 
     def for_attempt(
@@ -100,8 +101,9 @@
 
     Args:
         context: The context.
-        keys: The first one signs.
-        request_id: What stands for its id, if that travels besides.
+        keys: Key ring, whose first key signs.
+        request_id: Written in place of the request id, if that is sent
+            separately.
     """
     if request_id is None:
         request_id = context.request_id
@@ -125,7 +127,7 @@
 
 
 def decode(value: str, keys: keyring_lib.KeyRing) -> RequestContext:
-    """Reads a signed header value.
+    """Verifies and parses a signed header value.
 
     Raises:
         ForgedContextError: The signature is missing or wrong.
--- a/packages/burdockfront/src/burdockfront/outcomes.py
+++ b/packages/burdockfront/src/burdockfront/outcomes.py
@@ -1,12 +1,12 @@
-"""What became of a request.
+"""Outcomes of requests.
 
-An outcome is a promise to the caller, not a status of a hop:
+An outcome is a promise to the caller, not the status of a hop:
 
-* `DONE`: the answer is the whole answer of a backend server to this request
-  (also when that answer is an error of the backend server).
-* `NOT_RUN`: no backend server anywhere was handed the request. Only somebody
-  who knows that may say it.
-* `UNKNOWN`: everything else. The request may have run, in part or whole.
+* `DONE`: the answer is the complete answer of a backend server to this request,
+  which may be an error of the backend server.
+* `NOT_RUN`: the request was not handed to any backend server. Only a process
+  that knows this for certain may report it.
+* `UNKNOWN`: everything else. The request may have run, partly or completely.
 """
 
 import dataclasses
@@ -26,8 +26,8 @@
 class Reason(enum.StrEnum):
     """Why a request has no answer of a backend server.
 
-    `REJECTED` and `OTHER_INCARNATION` are the backend server's own word; the
-    other refusals were made before it saw the request.
+    `REJECTED` and `OTHER_INCARNATION` are reported by the backend server
+    itself; the other refusals are made before it receives the request.
     """
 
     OVERLOAD = "overload"
@@ -60,33 +60,36 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """A whole answer on its way to the caller.
+    """A complete answer on its way to the caller.
 
-    What the backend server said never changes. What a guard adds for the
-    asking side (from `level` on) each node sets anew: a copy for each field
-    took a twentieth of a call's time.
+    The backend server's part never changes. The fields from `level` on, which a
+    guard adds for the calling side, are set in place by each node: copying the
+    answer for each field took a twentieth of a call's time.
 
     Attributes:
-        outcome: What became of the request.
+        outcome: Outcome of the request.
         status: HTTP status code.
         headers: End-to-end headers as (name, value) pairs.
-        body: The whole body.
+        body: The complete body.
         reason: Why there is no answer of a backend server.
-        retry_after_s: When to come back, for outcomes other than done.
-        unspent: Retry allowance that comes back to the asking side.
+        retry_after_s: Time to wait before a retry, for outcomes other than
+            done.
+        unspent: Unused retry allowance, returned to the calling side.
         level: Highest priority number that this path admits now.
         moved_to: Successor ticket, when the owner handed the ticket over.
         queue_s: Time that the request waited for a slot.
-        load: Slots in use or waited for, divided by the slots.
+        load: Number of calls in slots or waiting for one, divided by the slots.
         draining: The guard that answered takes no new work.
-        starved: It failed because a service here or below had no room.
-        nested_call: The guard takes it for a call of a backend server.
-        far_kb: Kilobytes between data centres that requests of this class
-            cost below the guard that answered, on average.
-        said: What the backend server says of itself on it; None if it is not
-            its answer.
-        report: What the guard believes that its backend server says of itself;
-            None if that is nothing out of the ordinary.
+        starved: The request failed because this service, or one below it, had
+            no capacity.
+        nested_call: The guard classified the request as a call that a backend
+            server made.
+        far_kb: Average kilobytes between data centres that requests of this
+            class cause below the guard that answered.
+        said: The backend server's self report on this answer; None if the
+            answer is not the backend server's.
+        report: The guard's current view of its backend server's self report;
+            None if it has nothing unusual.
     """
 
     outcome: Outcome
@@ -141,7 +144,15 @@
 def not_run(
     reason: Reason, retry_after_s: float | None = None, unspent: int = 0
 ) -> Answer:
-    """Returns a refusal; the caller vouches that nothing ran anywhere."""
+    """Returns a refusal with the outcome `NOT_RUN`.
+
+    To be called only where no backend server has been handed the request.
+
+    Args:
+        reason: Why the request was refused.
+        retry_after_s: Time to wait before a retry.
+        unspent: Unused retry allowance.
+    """
     return Answer(
         outcome=Outcome.NOT_RUN,
         status=_STATUS_OF_REASON[reason],
@@ -152,7 +163,7 @@
 
 
 def unknown(reason: Reason, retry_after_s: float | None = None) -> Answer:
-    """Returns the honest answer when it can't be said whether it ran."""
+    """Returns the answer for a request that may or may not have run."""
     return Answer(
         outcome=Outcome.UNKNOWN,
         status=_STATUS_OF_REASON[reason],
@@ -162,7 +173,7 @@
 
 
 def refused_input(reason: Reason, message: str) -> Answer:
-    """Returns the refusal of a request that is not valid."""
+    """Returns the refusal of an invalid request, with a message as its body."""
     return Answer(
         outcome=Outcome.NOT_RUN,
         status=_STATUS_OF_REASON[reason],
