--- a/packages/burdockfront/src/burdockfront/policy.py
+++ b/packages/burdockfront/src/burdockfront/policy.py
@@ -1,8 +1,8 @@
-"""Policy documents: what operators decide, one document per service.
+"""Policy documents: the operators' settings, one document per service.
 
-A document is validated at the border by these models (unknown keys are
-refused, each error names the path, what was expected and the remedy) and is
-used inside as a frozen data class.
+A document is validated on input by the models of this module: unknown keys are
+refused, and each error names the path, the expected value and the remedy.
+Inside the system a document is a frozen data class.
 """
 
 import dataclasses
@@ -21,13 +21,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A kind of request and how much it matters.
+    """A class of requests and its priority.
 
     Attributes:
-        name: Name for operators.
+        name: Name shown to operators.
         rank: 0 is shed last.
         methods: HTTP methods that match; empty matches all.
-        path_prefix: Beginning of the path that matches.
+        path_prefix: Prefix of the paths that match.
     """
 
     name: str
@@ -36,7 +36,7 @@
     path_prefix: str
 
     def matches(self, method: str, path: str) -> bool:
-        """Tells whether a request belongs to this class."""
+        """Returns whether a request belongs to this class."""
         if self.methods and method not in self.methods:
             return False
         return path.startswith(self.path_prefix)
@@ -44,14 +44,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """Who may try again, and how often.
+    """Which hops may retry a call, and how often.
 
     Attributes:
-        kind: `chain` (one allowance for the whole tree), `hop` (each hop on
-            its own, within the ratio) or `layers` (each hop, unbounded by
-            others: a baseline to compare with).
+        kind: `chain` (one allowance for the whole call tree), `hop` (each hop
+            on its own, within the ratio) or `layers` (each hop, not limited by
+            other hops: a baseline for comparisons).
         allowance: Retries of a whole request, or of each hop.
-        reroutes: Other backend servers to ask after a provable `not-run`.
+        reroutes: Number of other backend servers to try after a certain
+            `not-run`.
         ratio: Retries of a node per first try.
     """
 
@@ -69,8 +70,8 @@
         kind: `level` (priority level, also upstream), `flow` (the same for
             guards several layers from the entries), `limit` (concurrency limit
             with a queue, first come first served) or `none`.
-        queue_s: Longest useful wait for a slot.
-        ramp_s: Time from a cold start to full use.
+        queue_s: Maximum wait for a slot.
+        ramp_s: Time from a cold start to full use of the slots.
     """
 
     kind: str
@@ -93,8 +94,8 @@
     def class_of(self, method: str, path: str) -> RequestClass:
         """Returns the first class that matches; the last one otherwise.
 
-        The last class is the least important one, so a request that nobody
-        thought of is shed before those that somebody did.
+        The last class is the least important one, so a request that the policy
+        does not foresee is shed before those that it names.
         """
         for request_class in self.classes:
             if request_class.matches(method, path):
@@ -180,7 +181,7 @@
 def default(service: str) -> Policy:
     """Returns the policy of a service that has no document yet.
 
-    Kept, because it is asked for several times per call.
+    Cached, because it is needed several times per call.
     """
     return parse({"service": service})
 
@@ -238,7 +239,7 @@
     else:
         known = "nothing below a plain value"
     return (
-        f"no field {path!r}; at this place the policy has: {known}. See "
+        f"no field {path!r}; at this level the policy has: {known}. See "
         f"'show policy SERVICE'."
     )
 
@@ -248,12 +249,13 @@
     error: pydantic.ValidationError,
     line_of: Callable[[tuple[int | str, ...]], int] | None = None,
 ) -> str:
-    """Turns a validation error into lines of path, expectation and remedy.
+    """Formats a validation error as lines of path, problem and remedy.
 
     Args:
-        subject: What is wrong, as a whole.
-        error: What is wrong with it.
-        line_of: Returns the line of a value, if it was read from a file.
+        subject: Name of the document.
+        error: The validation error.
+        line_of: Returns the line number of a value, for a document that was
+            read from a file.
     """
     lines = []
     for item in error.errors():
