--- a/packages/burdockfront/src/burdockfront/timeline.py
+++ b/packages/burdockfront/src/burdockfront/timeline.py
@@ -1,10 +1,10 @@
-"""A time line of events over all processes, in causal order.
+"""Timeline of events of all processes, in causal order.
 
-Wall clocks of VMs disagree by more than a call takes, so sorting by them puts
-answers before their requests. Every process keeps a hybrid logical clock
-(Kulkarni and others, 2014): close to the wall clock, but always above every
-stamp that it has seen. Stamps travel with messages; sorting by (stamp,
-process) never puts an effect before its cause.
+The wall clocks of VMs disagree by more than the duration of a call, so sorting
+by them can put answers before their requests. Every process keeps a hybrid
+logical clock (Kulkarni and others, 2014), which is close to the wall clock but
+always above every stamp that the process has seen. Messages carry stamps;
+sorting by (stamp, process) never puts an effect before its cause.
 """
 
 import collections
@@ -20,7 +20,10 @@
 
 
 class HybridClock:
-    """Stamps of one process: milliseconds and a counter in one integer."""
+    """Hybrid logical clock of one process.
+
+    A stamp has wall clock milliseconds and a counter in one integer.
+    """
 
     def __init__(self) -> None:
         self._last = 0
@@ -32,13 +35,13 @@
         return self._last
 
     def observe(self, stamp: int, wall_s: float) -> int:
-        """Returns a stamp above a received one too."""
+        """Returns a stamp above all earlier ones and a received one."""
         self._last = max(self._last, stamp)
         return self.tick(wall_s)
 
 
 def seconds_of(stamp: int) -> float:
-    """Returns the wall clock part of a stamp."""
+    """Returns the wall clock part of a stamp, in seconds."""
     return (stamp >> _COUNTER_BITS) / 1000
 
 
@@ -49,10 +52,10 @@
     Attributes:
         stamp: Hybrid logical time.
         node: Node on which it happened.
-        data_center: Its data centre.
+        data_center: Data centre of the node.
         kind: Dotted kind, e.g. `call.refused`.
-        request: Request it belongs to, or empty.
-        detail: Facts for people and programs.
+        request: Id of the request that it belongs to, or empty.
+        detail: Further fields.
     """
 
     stamp: int
@@ -63,15 +66,15 @@
     detail: dict[str, Any]
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the form that travels."""
+        """Returns the event as a JSON object."""
         return dataclasses.asdict(self)
 
 
 def event_from_json(data: Any) -> Event:
-    """Reads an event.
+    """Creates an event from a JSON object.
 
     Raises:
-        InvalidInputError: It does not have the shape of an event.
+        InvalidInputError: The object does not have the fields of an event.
     """
     try:
         return Event(**data)
@@ -84,13 +87,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Filter:
-    """Which events are wanted; empty fields match all.
+    """Selects events; empty fields match all.
 
     Attributes:
         request: Request id.
         node: Node id.
         data_center: Data centre.
-        kind: Kind or beginning of a kind.
+        kind: Kind or prefix of a kind.
     """
 
     request: str = ""
@@ -99,7 +102,7 @@
     kind: str = ""
 
     def matches(self, event: Event) -> bool:
-        """Tells whether an event is wanted."""
+        """Returns whether an event is selected."""
         return (
             self.request in ("", event.request)
             and self.node in ("", event.node)
@@ -109,13 +112,13 @@
 
 
 class Recorder:
-    """The last events of one process, in a ring of fixed size.
+    """Ring buffer of the latest events of one process.
 
     Args:
         node: Name of the process.
-        data_center: Where it runs.
-        capacity: Events that are kept.
-        sink: Also gets each event, if given.
+        data_center: Data centre of the process.
+        capacity: Number of events that are kept.
+        sink: Called with each recorded event, if given.
     """
 
     def __init__(
@@ -136,7 +139,7 @@
     def record(
         self, wall_s: float, kind: str, request: str = "", **detail: Any
     ) -> Event:
-        """Adds an event, and hands it to the sink."""
+        """Adds an event, and passes it to the sink."""
         event = self.note(wall_s, kind, request, **detail)
         if self._sink is not None:
             self._sink(event)
@@ -145,7 +148,10 @@
     def note(
         self, wall_s: float, kind: str, request: str = "", **detail: Any
     ) -> Event:
-        """Adds an event that a later one of its request will repeat."""
+        """Adds an event without passing it to the sink.
+
+        For events whose content a later event of the same request repeats.
+        """
         stamp = self.clock.tick(wall_s)
         event = Event(
             stamp, self._node, self._data_center, kind, request, detail
@@ -153,10 +159,10 @@
         self._events.append(event)
         return event
 
-    def select(self, wanted: Filter, most: int) -> list[Event]:
-        """Returns the last events that match."""
+    def select(self, wanted: Filter, limit: int) -> list[Event]:
+        """Returns the latest events that match a filter."""
         found = [event for event in self._events if wanted.matches(event)]
-        return found[-most:]
+        return found[-limit:]
 
 
 def merge(parts: Iterable[list[Event]]) -> list[Event]:
