--- a/packages/burdockfront/src/burdockfront/errors.py
+++ b/packages/burdockfront/src/burdockfront/errors.py
@@ -1,7 +1,7 @@
-"""The exception tree.
+"""Exception hierarchy.
 
-Every error says what was expected, what was received and what to do next,
-because the person who reads it is usually not the one who wrote the code.
+Every message states what was expected, what was received and what to do next,
+because its reader usually does not know the code.
 """
 
 
@@ -10,7 +10,7 @@
 
 
 class InvalidInputError(BurdockfrontError):
-    """Input from outside does not have the documented shape."""
+    """External input does not have the documented form."""
 
 
 class SettingsError(InvalidInputError):
@@ -18,11 +18,11 @@
 
 
 class PolicyError(InvalidInputError):
-    """A policy document can't be accepted."""
+    """A policy document is not valid."""
 
 
 class UnknownVariantError(InvalidInputError):
-    """A registry holds no variant of the given name."""
+    """A registry has no variant of the given name."""
 
     def __init__(self, family: str, name: str, known: list[str]):
         super().__init__(
@@ -52,7 +52,7 @@
 
 
 class MalformedTicketError(TicketError):
-    """A ticket was not minted by this system."""
+    """A ticket was not issued by this system."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -63,7 +63,7 @@
 
 
 class RevisionConflictError(BurdockfrontError):
-    """Somebody else changed the document first."""
+    """The document was changed since the expected revision."""
 
     def __init__(self, document: str, expected: int, found: int):
         super().__init__(
@@ -78,11 +78,11 @@
 
 
 class PlatformError(BurdockfrontError):
-    """The platform's key-value service could not be used."""
+    """A request to the platform's key-value service failed."""
 
 
 class PlatformUnavailableError(PlatformError):
-    """The platform's service did not answer, or may not be asked now."""
+    """The platform's service did not answer, or must not be called now."""
 
 
 class WriteUnsettledError(PlatformError):
@@ -93,14 +93,14 @@
             f"write {write_id} got no answer and reading it back failed, so "
             f"it may or may not have taken effect. Run 'verify change "
             f"{write_id}' once the platform service answers; don't repeat "
-            f"the command before."
+            f"the command before that."
         )
         self.write_id = write_id
 
 
 class LeaseLostError(BurdockfrontError):
-    """The holder may not act any more: its lease is over."""
+    """The lease has expired, so its holder must not act any more."""
 
 
 class DispatchError(BurdockfrontError):
-    """A call could not be brought to an answer."""
+    """A call ended without a valid answer."""
--- a/packages/burdockfront/src/burdockfront/internal/__init__.py
+++ b/packages/burdockfront/src/burdockfront/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that are not part of the public surface."""
+"""Helpers that are not part of the public interface."""
--- a/packages/burdockfront/src/burdockfront/registry.py
+++ b/packages/burdockfront/src/burdockfront/registry.py
@@ -1,6 +1,6 @@
-"""Registries for behaviour that varies.
+"""Registries of interchangeable implementations.
 
-A variant announces itself with a decorator, so adding one touches one file:
+A variant registers itself with a decorator, so adding one changes one file:
 
     shedding = Registry("shedding")
 
@@ -18,14 +18,18 @@
 
 
 class Registry:
-    """Variants of one family by name."""
+    """Variants of one family, by name."""
 
     def __init__(self, family: str):
         self.family = family
         self._variants: dict[str, Any] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Returns a decorator that files a class or function under a name."""
+        """Returns a decorator that registers a class or function by name.
+
+        Raises:
+            InvalidInputError: The name is already registered.
+        """
         if name in self._variants:
             raise errors.InvalidInputError(
                 f"{self.family} {name!r} is registered twice; choose another "
@@ -39,7 +43,7 @@
         return decorate
 
     def get(self, name: str) -> Any:
-        """Returns the variant.
+        """Returns the variant of a name.
 
         Raises:
             UnknownVariantError: No variant has this name.
--- a/tests/unit/test_examples.py
+++ b/tests/unit/test_examples.py
@@ -1,4 +1,4 @@
-"""The example runs and shows what it says."""
+"""The example runs and gives the results that it documents."""
 
 import pathlib
 import runpy
