--- a/tests/unit/test_call_correlation.py
+++ b/tests/unit/test_call_correlation.py
@@ -1,49 +1,51 @@
-"""For which request a backend server makes a call."""
+"""Correlation of a backend server's calls with its requests, by their ids."""
 
 from burdockfront import call_correlation
 from tests import builders
 
 
-def _running(*ids: str) -> call_correlation.CallCorrelator:
-    known = call_correlation.CallCorrelator()
+def _correlator(*ids: str) -> call_correlation.CallCorrelator:
+    correlator = call_correlation.CallCorrelator()
     for request_id in ids:
-        known.add(builders.a_context(request_id=request_id))
-    return known
+        correlator.add(builders.a_context(request_id=request_id))
+    return correlator
 
 
 def _parent_of(
-    known: call_correlation.CallCorrelator, request_id: str
+    correlator: call_correlation.CallCorrelator, request_id: str
 ) -> str | None:
-    parent = known.parent_of(request_id)
+    parent = correlator.parent_of(request_id)
     return parent.request_id if parent else None
 
 
-def test_id_that_extends_that_of_a_running_request_is_its_call():
-    known = _running("a1", "b2")
-    assert _parent_of(known, "b2.77") == "b2"
-    assert _parent_of(known, "a1-3") == "a1"
+def test_id_that_extends_the_id_of_a_request_in_flight_is_its_call():
+    correlator = _correlator("a1", "b2")
+    assert _parent_of(correlator, "b2.77") == "b2"
+    assert _parent_of(correlator, "a1-3") == "a1"
 
 
-def test_the_closest_of_several_is_the_parent():
-    known = _running("a1", "a1.b2")
-    assert _parent_of(known, "a1.b2.c3") == "a1.b2"
-    assert _parent_of(known, "a1.d4") == "a1"
+def test_request_with_the_longest_matching_id_is_the_parent():
+    correlator = _correlator("a1", "a1.b2")
+    assert _parent_of(correlator, "a1.b2.c3") == "a1.b2"
+    assert _parent_of(correlator, "a1.d4") == "a1"
 
 
-def test_ids_that_begin_alike_by_chance_are_no_calls():
-    known = _running("a1")
-    assert _parent_of(known, "a12") is None
-    assert _parent_of(known, "a1") is None
-    assert _parent_of(known, "c3.a1") is None
+def test_id_with_a_common_prefix_but_no_separator_is_no_call():
+    correlator = _correlator("a1")
+    assert _parent_of(correlator, "a12") is None
+    assert _parent_of(correlator, "a1") is None
+    assert _parent_of(correlator, "c3.a1") is None
 
 
-def test_request_that_has_ended_is_nobodys_parent():
-    known = call_correlation.CallCorrelator()
+def test_request_that_has_ended_is_not_a_parent():
+    correlator = call_correlation.CallCorrelator()
     context = builders.a_context(request_id="a1")
-    again = builders.a_context(request_id="a1", attempt_id="second")
-    known.add(context)
-    known.add(again)
-    known.remove(context)
-    assert _parent_of(known, "a1.b2") == "a1", "it runs a second time"
-    known.remove(again)
-    assert _parent_of(known, "a1.b2") is None
+    second = builders.a_context(request_id="a1", attempt_id="second")
+    correlator.add(context)
+    correlator.add(second)
+    correlator.remove(context)
+    assert _parent_of(correlator, "a1.b2") == "a1", (
+        "its second attempt is still in flight"
+    )
+    correlator.remove(second)
+    assert _parent_of(correlator, "a1.b2") is None
--- a/tests/unit/test_data_center_choice.py
+++ b/tests/unit/test_data_center_choice.py
@@ -1,4 +1,4 @@
-"""Near or far: when work leaves its data centre."""
+"""Choice between guards of the same and of other data centres."""
 
 import random
 
@@ -38,41 +38,42 @@
         router.estimates.record_size("fees", _CLASS, kb)
 
 
-def test_work_stays_near_though_all_slots_there_are_in_use():
-    # A wait of one call is cheaper than the way.
+def test_call_stays_near_when_all_slots_there_are_in_use():
+    # Waiting for one call is cheaper than a transfer between data centres.
     router = _router()
     _answers(router, 0.03, 0.03)
     router.record_answer("near", 1.1, False, 1.0)
     assert _far_share(router) == 0.0
 
 
-def test_work_leaves_a_data_centre_that_drowns():
-    # Its only server of the deepest service has a queue of several rounds,
-    # and the next data centre is idle. Calls may take 150 ms each.
+def test_call_leaves_an_overloaded_data_centre():
+    # Failure: the only near server of the deepest service has a queue several
+    # times its slots while the next data centre is idle, and calls exceed
+    # their limit of 150 ms.
     router = _router()
     _answers(router, 0.03, 0.03)
     router.record_answer("near", 5.0, False, 1.0)
     assert _far_share(router, limit_s=0.15) == 1.0
 
 
-def test_slow_server_is_good_enough_while_answers_come_in_time():
+def test_slow_near_server_is_used_while_it_answers_in_time():
     router = _router()
     _answers(router, 0.05, 0.03)
     assert _far_share(router) == 0.0
 
 
-def test_slow_server_is_left_for_a_quick_one_once_answers_come_too_late():
-    # The slow servers of one data centre take twice as long; nobody is
+def test_slow_near_server_is_avoided_when_it_answers_too_late():
+    # Failure: the servers of one data centre take twice as long without being
     # overloaded, and every deep request there misses its time limit.
     router = _router()
     _answers(router, 0.5, 0.2)
     assert _far_share(router, limit_s=0.4) == 1.0
 
 
-def test_large_answers_do_not_travel_for_a_few_more_in_time():
-    # Work with large bodies takes two thirds of its limit, and one in six
-    # takes too long. Sent to quicker servers elsewhere, one answer in six
-    # is saved, for 60 KB between data centres each.
+def test_large_answers_stay_near_when_few_more_would_be_in_time():
+    # Requests with large bodies take two thirds of their limit, and one in six
+    # takes too long. Faster servers in another data centre would save one
+    # answer in six, at 60 KB between data centres for each answer saved.
     router = _router()
     _answers(router, 0.17, 0.06, kb=10.0)
     assert _far_share(router, limit_s=0.25) == 0.0
@@ -80,24 +81,24 @@
     assert _far_share(router, limit_s=0.25) == 1.0
 
 
-def test_lateness_everywhere_moves_nothing():
-    # A service has no room anywhere, and answers are late for that. Quick
-    # servers of other data centres are as pressed; hurrying there would send a
-    # third of all calls over the dear ways for nothing.
+def test_calls_stay_near_when_answers_are_late_everywhere():
+    # Failure: a service is overloaded in all data centres, so that answers are
+    # late everywhere, and a third of all calls cause expensive transfers to
+    # other data centres without any gain.
     router = _router()
     _answers(router, 0.5, 0.48)
     assert _far_share(router, limit_s=0.1) == 0.0
 
 
-def test_small_differences_move_nothing():
+def test_small_latency_differences_do_not_move_calls():
     router = _router()
     _answers(router, 0.034, 0.030)
     assert _far_share(router, limit_s=0.1) == 0.0
 
 
 def test_server_that_refuses_half_of_its_requests_is_avoided():
-    # Its health check is good and it answers quickly. Each refusal costs a
-    # request that is sent on, or one of many calls of a whole request.
+    # Its health check passes and it answers quickly. Each refusal costs a
+    # reroute, or fails one of the many calls of a request.
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(40):
@@ -106,8 +107,9 @@
     assert _far_share(router) == 1.0
 
 
-def test_server_is_not_avoided_for_ever():
-    # Nobody asks it any more, so nobody hears that it is well again.
+def test_failing_server_is_tried_again_after_some_time():
+    # Failure: a server that is avoided gets no requests, so no router learns
+    # that it has recovered.
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(100):
@@ -117,18 +119,18 @@
     assert _far_share(router, now_s=9.0) == 0.0
 
 
-def test_good_answers_of_a_server_that_failed_are_believed():
-    book = guard_estimates.GuardEstimates()
+def test_successful_answers_lower_the_failure_rate():
+    estimates = guard_estimates.GuardEstimates()
     for _ in range(100):
-        book.record_failure("near", 1.0)
+        estimates.record_failure("near", 1.0)
     for _ in range(200):
-        book.record_answer("fees", "near", _CLASS, 0.1, 1.0)
-    assert book.failure_rate("near", 1.0) < 0.01
+        estimates.record_answer("fees", "near", _CLASS, 0.1, 1.0)
+    assert estimates.failure_rate("near", 1.0) < 0.01
 
 
-def test_service_that_refuses_everywhere_is_asked_near():
-    # All servers refuse half of all requests. Which of them looks a little
-    # better is chance, and ways would be paid for nothing.
+def test_calls_stay_near_when_a_service_refuses_everywhere():
+    # Failure: all servers refuse half of all requests, their estimates differ
+    # only by chance, and calls cause transfers without any gain.
     router = _router()
     rng = random.Random(5)
     _answers(router, 0.1, 0.1)
@@ -148,9 +150,9 @@
     assert far < 400
 
 
-def test_server_that_never_answers_in_time_is_known_to_be_slow():
-    # It takes twelve times as long, so each request is given up. Learning from
-    # answers alone, its router kept sending: nothing said that it was slow.
+def test_server_that_never_answers_in_time_is_estimated_as_slow():
+    # Failure: a server takes twelve times as long, so each request times out.
+    # With estimates from answers alone, its router kept sending to it.
     router = _router()
     _answers(router, 0.1, 0.1)
     for _ in range(30):
@@ -159,7 +161,8 @@
 
 
 def test_of_two_near_servers_the_one_that_fails_is_avoided():
-    # Both have room. One refuses half of its requests while it looks healthy.
+    # Both have free slots. One refuses half of its requests while its health
+    # check passes.
     router = routing.Router("dc1", random.Random(3))
     names = ("good", "grey")
     router.update(
@@ -178,17 +181,17 @@
     assert chosen == {"good"}
 
 
-def test_server_that_is_gone_is_forgotten():
+def test_estimates_of_a_removed_server_are_dropped():
     router = _router()
     _answers(router, 0.5, 0.2)
     router.update([])
     assert router.estimates.relative_latency("near") == 1.0
 
 
-def test_request_leaves_whose_calls_would_leave_below():
+def test_request_leaves_when_its_calls_below_would_leave():
     # The deepest service is missing in this data centre: each request that
-    # stays makes eight calls that leave, one that leaves makes none. Nobody is
-    # slow or pressed, so nothing else tells.
+    # stays makes eight calls that leave, and one that leaves makes none. No
+    # server is slow or overloaded, so only the reported costs show it.
     router = _router()
     _answers(router, 0.2, 0.2)
     router.transfer_costs.record_report("near", _CLASS, 8.0, 1.0)
@@ -196,9 +199,10 @@
     assert _far_share(router) == 1.0
 
 
-def test_request_leaves_in_proportion_where_little_is_saved():
-    # In an overload of all data centres calls leave each of them. What guards
-    # say is old: all at once, requests would run from one to the other.
+def test_share_of_requests_that_leave_is_proportional_to_a_small_saving():
+    # Failure: in an overload of all data centres, calls leave each of them. The
+    # reports of guards lag, so if all requests reacted at once, they would
+    # oscillate between the data centres.
     router = _router()
     _answers(router, 0.2, 0.2)
     router.transfer_costs.record_report("near", _CLASS, 2.5, 1.0)
@@ -206,7 +210,7 @@
     assert 0.4 < _far_share(router) < 0.8
 
 
-def test_request_stays_where_its_calls_leave_as_often_elsewhere():
+def test_request_stays_when_transfer_costs_are_equal_elsewhere():
     router = _router()
     _answers(router, 0.2, 0.2)
     router.transfer_costs.record_report("near", _CLASS, 3.0, 1.0)
@@ -214,16 +218,16 @@
     assert _far_share(router) == 0.0
 
 
-def test_detours_are_not_worth_a_server_that_takes_twice_as_long():
+def test_transfer_costs_do_not_justify_a_server_twice_as_slow():
     router = _router()
     _answers(router, 0.2, 0.5)
     router.transfer_costs.record_report("near", _CLASS, 8.0, 1.0)
     assert _far_share(router) == 0.0
 
 
-def test_detours_heard_long_ago_are_not_believed():
-    # Whoever avoids a guard hears nothing of it any more, also not that the
-    # service below it is back.
+def test_old_reports_of_transfer_costs_are_ignored():
+    # Failure: a router that avoids a guard gets no reports of it any more, and
+    # does not learn that the service below it has recovered.
     router = _router()
     _answers(router, 0.2, 0.2)
     router.transfer_costs.record_report("near", _CLASS, 8.0, -60.0)
--- a/tests/unit/test_limited_guards.py
+++ b/tests/unit/test_limited_guards.py
@@ -1,4 +1,4 @@
-"""Routers beside guards whose backend servers name limits."""
+"""Routing around guards that refuse for limits of their backend servers."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 
 def _dispatcher(**answers: _Answers) -> dispatcher_lib.Dispatcher:
-    """Returns a dispatcher whose guards answer as these functions say."""
+    """Returns a dispatcher whose guards answer with these functions."""
     dispatcher = builders.a_dispatcher()
 
     def transport_of() -> Callable[..., Awaitable[outcomes.Answer]]:
@@ -52,12 +52,13 @@
     return refusal
 
 
-def _whole(attempt: calls.Attempt) -> outcomes.Answer:
+def _done(attempt: calls.Attempt) -> outcomes.Answer:
     return builders.an_answer()
 
 
-def test_router_stays_away_from_a_limited_guard_as_long_as_it_was_told():
-    # It has all its slots free, and would be the first choice each time.
+def test_router_avoids_a_limited_guard_for_the_requested_time():
+    # All slots of the limited guard are free, so by load alone it would be
+    # chosen every time.
     router = _router("n1", "n2")
     router.record_limited("n1", 1.0, 10.0)
     chosen = {router.choose("fees", frozenset(), 10.4) for _ in range(40)}
@@ -66,7 +67,7 @@
     assert {target.node_id for target in chosen} == {"n1", "n2"}
 
 
-def test_limit_that_has_ended_opens_a_guard_at_once():
+def test_guard_gets_calls_at_once_when_its_limit_ends():
     router = _router("n1", "n2")
     router.record_limited("n1", 5.0, 10.0)
     router.clear_limit("n1")
@@ -74,14 +75,16 @@
     assert {target.node_id for target in chosen} == {"n1", "n2"}
 
 
-def test_one_limited_guard_is_told_of_once_while_its_limit_lasts():
+def test_limit_of_a_guard_is_reported_once_while_it_lasts():
     router = _router("n1", "n2")
-    news = [router.record_limited("n1", 1.0, 10.0 + 2 * n) for n in range(5)]
-    assert news == [True, False, False, False, False]
+    reported = [
+        router.record_limited("n1", 1.0, 10.0 + 2 * n) for n in range(5)
+    ]
+    assert reported == [True, False, False, False, False]
 
 
-def test_listing_is_refused_at_once_where_all_servers_are_limited():
-    """Failure: a listing asks one guard after the other, to be refused."""
+def test_listing_is_refused_without_calls_when_all_servers_are_limited():
+    """Failure: a listing tries each guard in turn, and all refuse it."""
 
     async def scenario() -> None:
         asked = []
@@ -92,7 +95,7 @@
 
         dispatcher = _dispatcher(n1=refuse, n2=refuse)
         await dispatcher.call(builders.a_call("first"))
-        assert len(asked) == 2, "each guard says that it is limited"
+        assert len(asked) == 2, "each guard refuses for its limit"
         answer = await dispatcher.call(builders.a_call("second"))
         assert answer.outcome is outcomes.Outcome.NOT_RUN
         assert answer.reason is outcomes.Reason.LIMITED
@@ -105,14 +108,14 @@
     asyncio.run(scenario())
 
 
-def test_confirmation_and_paid_call_still_go_where_all_servers_are_limited():
-    """Failure: what a limited server takes first is kept from it."""
+def test_confirmation_and_nested_call_are_sent_to_limited_servers():
+    """Failure: requests that limited servers take first are not sent to them."""
 
     async def scenario() -> None:
         dispatcher = _dispatcher(n1=_limited, n2=_limited)
         await dispatcher.call(builders.a_call("first"))
         dispatcher.sender.transport = _dispatcher(
-            n1=_whole, n2=_whole
+            n1=_done, n2=_done
         ).sender.transport
         for changes in ({"rank": 0}, {"depth": 1}):
             context = builders.a_context(**changes)
@@ -123,12 +126,12 @@
     asyncio.run(scenario())
 
 
-def test_call_to_a_guard_bears_what_the_guard_told_last():
+def test_call_carries_the_last_report_of_its_guard():
     async def scenario() -> None:
-        told = []
+        received = []
 
         def serve(attempt: calls.Attempt) -> outcomes.Answer:
-            told.append(attempt.told)
+            received.append(attempt.told)
             answer = builders.an_answer()
             answer.report = _REPORT
             return answer
@@ -136,6 +139,6 @@
         dispatcher = _dispatcher(n1=serve)
         for name in ("first", "second"):
             await dispatcher.call(builders.a_call(name))
-        assert told == [None, _REPORT]
+        assert received == [None, _REPORT]
 
     asyncio.run(scenario())
