--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -259,7 +259,7 @@
             now_s,
             class_name=class_name,
             limit_s=_limit_s(call, now_s),
-            insists=limit_level.takes_precedence(call.context),
+            allow_limited=limit_level.takes_precedence(call.context),
         )
         if target is None and progress.lost:
             # All were tried; a lost answer may be asked for once more.
@@ -297,7 +297,7 @@
     ) -> outcomes.Answer:
         if progress.refusal is not None:
             return progress.refusal
-        limited_s = self.router.limited_s(call.service, time.monotonic())
+        limited_s = self.router.limit_ends_in_s(call.service, time.monotonic())
         if limited_s is not None:
             self.counters.early_refusals += 1
             return outcomes.not_run(outcomes.Reason.LIMITED, limited_s)
--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -72,10 +72,10 @@
             now_s: The current time.
         """
         self._learn_pace(call, target, answer, elapsed_s, now_s)
-        self._router.answered(
+        self._router.record_answer(
             target.node_id, answer.load, answer.draining, now_s
         )
-        self._router.ways.heard(
+        self._router.transfer_costs.record_report(
             target.node_id, call.context.class_name, answer.far_kb, now_s
         )
         if answer.report is not None:
@@ -85,7 +85,7 @@
             )
             self.reports.record(target.node_id, answer.report, from_server)
             if answer.report.limit_per_s is None:
-                self._router.unlimited(target.node_id)
+                self._router.clear_limit(target.node_id)
         if answer.reason is outcomes.Reason.LIMITED:
             self._note_limited(target, answer, now_s)
         if answer.level is not None:
@@ -115,21 +115,23 @@
         elapsed_s: float,
         now_s: float,
     ) -> None:
-        pace = self._router.pace
+        estimates = self._router.estimates
         if answer.reason in _FAULTS:
-            pace.failed(target.node_id, now_s)
+            estimates.record_failure(target.node_id, now_s)
         class_name = call.context.class_name
         timed_out = (
             answer.reason is outcomes.Reason.DEADLINE
             and answer.outcome is outcomes.Outcome.UNKNOWN
         )
         if timed_out or answer.status == _TIMEOUT_STATUS:
-            pace.late(call.service, target.node_id, class_name, elapsed_s)
+            estimates.record_timeout(
+                call.service, target.node_id, class_name, elapsed_s
+            )
         if answer.outcome is not outcomes.Outcome.DONE:
             return
-        pace.moved(call.service, class_name, _kb_of(call, answer))
+        estimates.record_size(call.service, class_name, _kb_of(call, answer))
         if answer.status < _SERVER_ERROR:
-            pace.answered(
+            estimates.record_answer(
                 call.service, target.node_id, class_name, elapsed_s, now_s
             )
 
@@ -139,7 +141,7 @@
         """Stays away from a guard that refused for a limit of its server."""
         away_s = answer.retry_after_s or 0.0
         report = answer.report
-        if self._router.limited(target.node_id, away_s, now_s):
+        if self._router.record_limited(target.node_id, away_s, now_s):
             self._recorder.record(
                 time.time(),
                 "router.limited",
--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -111,7 +111,7 @@
             attempt.told = heard[target.node_id]
         attempt_id = attempt.context.attempt_id
         self._counters.attempts += 1
-        self._router.sent(target.node_id)
+        self._router.record_sent(target.node_id)
         alarm = None
         if overdue_s < timeout_s:
             alarm = asyncio.get_running_loop().call_later(
@@ -132,7 +132,7 @@
             return calls.Sent(calls.Fate.LOST)
         except asyncio.CancelledError:
             call.pool.write_off(attempt_id)
-            self._router.abandoned(target.node_id)
+            self._router.record_cancelled(target.node_id)
             raise
         finally:
             if alarm is not None:
@@ -242,7 +242,7 @@
         return context_lib.encode(context, self.keys)
 
     def _overdue(self, node_id: str) -> None:
-        if self._router.overdue(node_id, time.monotonic()):
+        if self._router.record_overdue(node_id, time.monotonic()):
             self._record_ejection(node_id)
 
     def _record_ejection(self, node_id: str) -> None:
@@ -251,7 +251,7 @@
     def _unanswered(
         self, call: calls.Call, target: guards.Target, unreachable: bool
     ) -> None:
-        ejected = self._router.unanswered(
+        ejected = self._router.record_no_answer(
             target.node_id, unreachable, time.monotonic()
         )
         self._recorder.record(
--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -11,12 +11,12 @@
 import time
 from collections.abc import Callable
 
+from burdockfront import call_correlation
 from burdockfront import context as context_lib
-from burdockfront import detours
 from burdockfront import levels
 from burdockfront import outcomes
-from burdockfront import running
 from burdockfront import starvation
+from burdockfront import transfer_costs
 from burdockfront_client import calls
 
 _SERVER_ERROR = 500
@@ -45,9 +45,9 @@
         self._services = services
         self._origins = starvation.CallOriginTracker()
         self._starvation = starvation.StarvationTracker()
-        self._detours = detours.DetourBook(time.monotonic())
+        self._detours = transfer_costs.TransferCostTracker(time.monotonic())
         self._new_work: set[str] = set()
-        self._running = running.RunningRequests()
+        self._running = call_correlation.CallCorrelator()
 
     def is_new_work(self, class_name: str) -> bool:
         """Whether guards said that requests of a class are new work."""
@@ -73,17 +73,17 @@
 
     def detours_of(self, class_name: str) -> float:
         """Returns the kilobytes that requests of a class cost below."""
-        return self._detours.per_request(class_name)
+        return self._detours.kb_per_request(class_name)
 
     def run_began(self, attempt: calls.Attempt) -> None:
         """Notes that a request is handed to the backend server."""
-        self._running.began(attempt.context)
-        self._detours.began(attempt.context.class_name, time.monotonic())
+        self._running.add(attempt.context)
+        self._detours.record_start(attempt.context.class_name, time.monotonic())
 
     def run_left(self, attempt: calls.Attempt) -> None:
         """Notes that nobody waits for a request at the backend server."""
-        self._running.ended(attempt.context)
-        self._detours.ended(attempt.context.class_name, time.monotonic())
+        self._running.remove(attempt.context)
+        self._detours.record_end(attempt.context.class_name, time.monotonic())
 
     def run_ended(
         self, attempt: calls.Attempt, started_s: float, answer: outcomes.Answer
@@ -108,13 +108,13 @@
         if call.parent_class:
             self._linked_call_ended(call, answer)
             return
-        if answer.inner:
+        if answer.nested_call:
             self._new_work.discard(class_name)
         elif answer.load is not None:
             # A guard's own word; answers made here say nothing of the kind.
             self._new_work.add(class_name)
         if class_name not in self._new_work:
-            self._detours.called(answer.far_kb, time.monotonic())
+            self._detours.record_call(answer.far_kb, time.monotonic())
         no_room = answer.reason in _NO_ROOM or answer.starved
         if no_room and class_name not in self._new_work:
             child = starvation.Child(call.service, class_name)
@@ -127,7 +127,7 @@
         now_s = time.monotonic()
         class_name = call.context.class_name
         self._new_work.discard(class_name)
-        self._detours.called_by(call.parent_class, answer.far_kb, now_s)
+        self._detours.record_call_of(call.parent_class, answer.far_kb, now_s)
         self._book.record_call(
             call.parent_class, call.service, now_s, class_name
         )
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -158,38 +158,38 @@
     # a time detects when it recovers.
     router = _router("a", "b", "c")
     for _ in range(3):
-        router.sent("a")
-        router.unanswered("a", False, 1.0)
+        router.record_sent("a")
+        router.record_no_answer("a", False, 1.0)
     assert router.ejected() == ["a"]
     assert "a" not in _choices(router, 1.1)
     assert "a" in _choices(router, 3.0, count=1)
-    router.answered("a", 0.0, False, 3.1)
+    router.record_answer("a", 0.0, False, 3.1)
     assert router.ejected() == []
 
 
 def test_ejection_never_empties_a_service():
     router = _router("a", "b", "c", "d")
     for name in "abcd":
-        router.unanswered(name, True, 1.0)
+        router.record_no_answer(name, True, 1.0)
     assert len(_choices(router, 1.1)) == 2
 
 
 def test_draining_guard_gets_no_new_work():
     router = _router("a", "b")
-    router.answered("a", 0.0, True, 1.0)
+    router.record_answer("a", 0.0, True, 1.0)
     assert _choices(router, 2.0) == {"b"}
 
 
 def test_reported_load_moves_calls_only_while_it_is_fresh():
     router = _router("a", "b")
-    router.answered("a", 5.0, False, 1.0)
+    router.record_answer("a", 5.0, False, 1.0)
     assert _choices(router, 1.1) == {"b"}
     assert _choices(router, 3.0) == {"a", "b"}
 
 
 def test_new_incarnation_is_not_ejected():
     router = _router("a", "b", "c")
-    router.unanswered("a", True, 1.0)
+    router.record_no_answer("a", True, 1.0)
     router.update(
         builders.a_target(n, boot_id=f"{n}-second") for n in ("a", "b", "c")
     )
@@ -246,8 +246,8 @@
     # timeout counted, a frozen owner would get confirmations for seconds.
     router = _router("a", "b", "c")
     for _ in range(3):
-        router.sent("a")
-        router.overdue("a", 1.0)
+        router.record_sent("a")
+        router.record_overdue("a", 1.0)
     assert router.ejected() == ["a"]
 
 
@@ -256,7 +256,7 @@
     # or a ticket was minted and never used. A router that waited for the
     # answer without a limit would never use that guard again.
     router = _router("a", "b", "c")
-    router.unanswered("a", True, 1.0)
+    router.record_no_answer("a", True, 1.0)
     assert _choices(router, 3.0, count=1) == {"a"}
     assert _choices(router, 3.1) == {"b", "c"}
     assert _choices(router, 30.0, count=1) == {"a"}
@@ -264,6 +264,6 @@
 
 def test_tickets_are_not_minted_for_an_ejected_guard():
     router = _router("a", "b", "c")
-    router.unanswered("a", True, 1.0)
+    router.record_no_answer("a", True, 1.0)
     owner = router.choose("fees", frozenset(), 3.0, probe=False)
     assert owner.node_id != "a"
