--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -11,7 +11,7 @@
 
 The cost per node does not depend on the number of nodes; what grows with it
 is only the number of changes, and those of members are paced (see
-`burdockfront.exchange_pace`).
+`burdockfront.gossip_budget`).
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 
 from burdockfront import configuration as configuration_lib
 from burdockfront import errors
-from burdockfront import exchange_pace
 from burdockfront import freshness
+from burdockfront import gossip_budget
 from burdockfront import members as members_lib
 from burdockfront import membership as membership_lib
 from burdockfront import tables
@@ -130,7 +130,7 @@
             membership, self._push_routes, settings.fanout, recorder, rng
         )
         rate = settings.members_bytes_per_s / 2
-        self._push_budget = exchange_pace.ByteBudget(rate, _BURST_BYTES)
+        self._push_budget = gossip_budget.ByteBudget(rate, _BURST_BYTES)
         self.repairs = repairs_lib.Repairs(
             self.link,
             membership,
@@ -138,7 +138,7 @@
             self.crash_news.book,
             ready,
             self._take,
-            exchange_pace.ByteBudget(rate, _BURST_BYTES),
+            gossip_budget.ByteBudget(rate, _BURST_BYTES),
             routes,
         )
         self._joins = joins.Joins(self.repairs, membership.me.address, rng)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
@@ -2,7 +2,7 @@
 
 Both send a digest per bucket and the entries of buckets that differ. Documents
 and crashes are repaired at once; members in the pace of
-`burdockfront.exchange_pace`.
+`burdockfront.gossip_budget`.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 from burdockfront import configuration as configuration_lib
 from burdockfront import crashes as crashes_lib
 from burdockfront import errors
-from burdockfront import exchange_pace
 from burdockfront import freshness
+from burdockfront import gossip_budget
 from burdockfront import membership as membership_lib
 from burdockfront_node.controllers import peer_link
 
@@ -53,7 +53,7 @@
         crashes: crashes_lib.CrashBook,
         ready: asyncio.Event,
         take: Callable[[dict[str, Any], str], None],
-        budget: exchange_pace.ByteBudget,
+        budget: gossip_budget.ByteBudget,
         routes: Callable[[], freshness.Claim],
     ):
         self._routes = routes
@@ -65,7 +65,7 @@
         self._ready = ready
         self._take = take
         self._budget = budget
-        self._pace = exchange_pace.RepairPace(
+        self._pace = gossip_budget.RepairPace(
             _QUIET_S, _LONGEST_UNEQUAL_S, time.monotonic()
         )
 
