--- a/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
@@ -65,7 +65,7 @@
         self._ready = ready
         self._take = take
         self._budget = budget
-        self._pace = gossip_budget.RepairPace(
+        self._pace = gossip_budget.SyncPacer(
             _QUIET_S, _LONGEST_UNEQUAL_S, time.monotonic()
         )
 
--- a/packages/burdockfront/src/burdockfront/gossip_budget.py
+++ b/packages/burdockfront/src/burdockfront/gossip_budget.py
@@ -52,7 +52,7 @@
         self._left_bytes -= size_bytes
 
 
-class RepairPace:
+class SyncPacer:
     """Whether unequal digests are worth a repair now.
 
     Args:
--- a/tests/unit/test_gossip_budget.py
+++ b/tests/unit/test_gossip_budget.py
@@ -7,7 +7,7 @@
     # A data centre is lost. For ten seconds our table changes all the time
     # and every probe meets a peer that has heard other parts of the news.
     # Each of these probes would have exchanged most of the table.
-    pace = gossip_budget.RepairPace(quiet_s=2.0, longest_s=30.0, now_s=0.0)
+    pace = gossip_budget.SyncPacer(quiet_s=2.0, longest_s=30.0, now_s=0.0)
     repairs = 0
     for tenth in range(100):
         now_s = 10.0 + tenth / 10
@@ -18,14 +18,14 @@
 
 
 def test_unequal_tables_are_repaired_at_once_when_all_is_quiet():
-    pace = gossip_budget.RepairPace(quiet_s=2.0, longest_s=30.0, now_s=0.0)
+    pace = gossip_budget.SyncPacer(quiet_s=2.0, longest_s=30.0, now_s=0.0)
     assert pace.due(0.1)
 
 
 def test_tables_that_never_stand_still_are_repaired_at_last():
     # Somewhere a node restarts every second. Without a bound, one that
     # missed a push would never get what it lacks.
-    pace = gossip_budget.RepairPace(quiet_s=2.0, longest_s=30.0, now_s=0.0)
+    pace = gossip_budget.SyncPacer(quiet_s=2.0, longest_s=30.0, now_s=0.0)
     repaired_at_s = []
     for second in range(100):
         pace.changed(float(second))
