--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -297,7 +297,7 @@
     async def _push_round(self) -> None:
         now_s = time.monotonic()
         peers = self._listeners()
-        riders = _PUSHED_AT_ONCE if self._push_budget.open(now_s) else 0
+        riders = _PUSHED_AT_ONCE if self._push_budget.allows(now_s) else 0
         message = self._message(riders, len(peers))
         if not (message["m"] or message["c"] or message["x"]):
             return
@@ -307,7 +307,7 @@
             # Other messages may have passed meanwhile; to count them too only
             # makes the next push of members come later.
             spent_bytes = self.link.sent_bytes - before_bytes
-            self._push_budget.spend(spent_bytes, time.monotonic())
+            self._push_budget.consume(spent_bytes, time.monotonic())
 
     async def _push_crash(
         self, entry: tables.Entry, peers: list[members_lib.Member]
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
@@ -71,7 +71,7 @@
 
     def changed(self) -> None:
         """Notes that our members changed."""
-        self._pace.changed(time.monotonic())
+        self._pace.record_change(time.monotonic())
 
     async def after_probe(self, address: str, answer: dict[str, Any]) -> None:
         """Repairs with a peer whose answer to a probe shows other digests.
@@ -111,7 +111,7 @@
             # Other messages may have passed meanwhile; to count them too
             # only makes the next repair come later.
             spent_bytes = self._link.moved_bytes - before_bytes
-            self._budget.spend(spent_bytes, time.monotonic())
+            self._budget.consume(spent_bytes, time.monotonic())
         return ready
 
     def on_sync(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -125,10 +125,10 @@
 
     def _members_due(self, their_digest: str) -> bool:
         if their_digest == self._membership.table.digest():
-            self._pace.equal()
+            self._pace.record_equal()
             return False
         now_s = time.monotonic()
-        return self._budget.open(now_s) and self._pace.due(now_s)
+        return self._budget.allows(now_s) and self._pace.sync_due(now_s)
 
     def _question(self, members: bool) -> dict[str, Any]:
         """Returns our digests by bucket."""
--- a/packages/burdockfront/src/burdockfront/gossip_budget.py
+++ b/packages/burdockfront/src/burdockfront/gossip_budget.py
@@ -38,7 +38,7 @@
         self._left_bytes = burst_bytes
         self._at_s: float | None = None
 
-    def open(self, now_s: float) -> bool:
+    def allows(self, now_s: float) -> bool:
         """Whether anything may be sent now."""
         if self._at_s is not None:
             earned = (now_s - self._at_s) * self._rate_bytes_per_s
@@ -46,9 +46,9 @@
         self._at_s = now_s
         return self._left_bytes > 0
 
-    def spend(self, size_bytes: int, now_s: float) -> None:
+    def consume(self, size_bytes: int, now_s: float) -> None:
         """Counts what was sent or received."""
-        self.open(now_s)
+        self.allows(now_s)
         self._left_bytes -= size_bytes
 
 
@@ -57,30 +57,30 @@
 
     Args:
         quiet_s: Our own table must have stood still this long.
-        longest_s: After differing for so long, repair in any case.
+        max_unequal_s: After differing for so long, repair in any case.
         now_s: The current time.
     """
 
-    def __init__(self, quiet_s: float, longest_s: float, now_s: float):
+    def __init__(self, quiet_s: float, max_unequal_s: float, now_s: float):
         self._quiet_s = quiet_s
-        self._longest_s = longest_s
+        self._max_unequal_s = max_unequal_s
         self._changed_s = now_s - quiet_s
         self._unequal_since_s: float | None = None
 
-    def changed(self, now_s: float) -> None:
+    def record_change(self, now_s: float) -> None:
         """Notes that our table changed."""
         self._changed_s = now_s
 
-    def equal(self) -> None:
+    def record_equal(self) -> None:
         """Notes that a peer's table is the same as ours."""
         self._unequal_since_s = None
 
-    def due(self, now_s: float) -> bool:
+    def sync_due(self, now_s: float) -> bool:
         """Notes that a peer's table differs; returns whether to repair."""
         if self._unequal_since_s is None:
             self._unequal_since_s = now_s
         quiet = now_s - self._changed_s >= self._quiet_s
-        overdue = now_s - self._unequal_since_s >= self._longest_s
+        overdue = now_s - self._unequal_since_s >= self._max_unequal_s
         if not quiet and not overdue:
             return False
         self._unequal_since_s = None
