--- a/packages/burdockfront-node/src/burdockfront_node/controllers/crash_news.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/crash_news.py
@@ -61,8 +61,8 @@
         self._push = push
         self._on_news = on_news
         self._recorder = recorder
-        self._crash_rumors = tables.Rumors(crash_sends)
-        self._acquittal_rumors = tables.Rumors(acquittal_sends)
+        self._crash_rumors = tables.BroadcastQueue(crash_sends)
+        self._acquittal_rumors = tables.BroadcastQueue(acquittal_sends)
         self._telling: set[asyncio.Task[None]] = set()
 
     @property
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -114,9 +114,13 @@
         self._recorder = recorder
         self._on_members = on_members
         self._rng = rng
-        self._member_rumors = tables.Rumors(settings.fanout + _ON_PROBES)
+        self._member_rumors = tables.BroadcastQueue(
+            settings.fanout + _ON_PROBES
+        )
         # Few, and in force within seconds: told three times as often.
-        self._policy_rumors = tables.Rumors(settings.fanout * settings.fanout)
+        self._policy_rumors = tables.BroadcastQueue(
+            settings.fanout * settings.fanout
+        )
         self._news = asyncio.Event()
         self.crash_news = crash_news_lib.CrashNews(
             membership,
--- a/packages/burdockfront/src/burdockfront/tables.py
+++ b/packages/burdockfront/src/burdockfront/tables.py
@@ -130,7 +130,7 @@
         return [e for e in self._entries.values() if _bucket_of(e.key) in wrong]
 
 
-class Rumors:
+class BroadcastQueue:
     """Keys that changed lately and are still to be passed on.
 
     Each change is told to `sends` peers drawn at random. If every node tells
