--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -65,7 +65,7 @@
         service = announced.service if announced else ""
         slots = self._guard.slots
         draining = not self._guard.takes_work
-        me = self._exchange.membership.me
+        me = self._exchange.membership.local_member
         if (me.service, me.slots, me.draining) != (service, slots, draining):
             self._exchange.update_me(
                 service=service, slots=slots, draining=draining
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/crash_news.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/crash_news.py
@@ -122,7 +122,7 @@
         return [entry.to_json() for entry in found if entry is not None]
 
     async def _tell_service(self, entry: tables.Entry) -> None:
-        mine = self._membership.me
+        mine = self._membership.local_member
         same = [
             member
             for member in self._membership.usable()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/directory.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/directory.py
@@ -192,7 +192,7 @@
         return [place for place in places if place.address not in known]
 
     def _near(self, places: list[Place]) -> list[Place]:
-        mine = self._exchange.membership.me
+        mine = self._exchange.membership.local_member
         return [
             place
             for place in places
@@ -203,9 +203,9 @@
     def _keeps(self) -> bool:
         """Whether this node is one of those who keep a key."""
         membership = self._exchange.membership
-        oldest = membership.longest_running(membership.me.data_center)
+        oldest = membership.longest_running(membership.local_member.data_center)
         names = [member.node_id for member in oldest[:_KEEPERS]]
-        return membership.me.node_id in names
+        return membership.local_member.node_id in names
 
     async def leave(self) -> None:
         """Removes this node's key; a store that is away lets it lapse.
@@ -236,7 +236,7 @@
             except store_lib.LeaseGoneError:
                 self._lease = None
         lease = await self._store.grant(_LEASE_S)
-        me = self._exchange.membership.me
+        me = self._exchange.membership.local_member
         value = orjson.dumps(
             {"address": me.address, "data_center": me.data_center}
         )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -145,7 +145,9 @@
             gossip_budget.ByteBudget(rate, _BURST_BYTES),
             routes,
         )
-        self._joins = joins.Joins(self.repairs, membership.me.address, rng)
+        self._joins = joins.Joins(
+            self.repairs, membership.local_member.address, rng
+        )
 
     # ---- local changes -------------------------------------------------
 
@@ -219,7 +221,7 @@
         """
         peers = self._listeners()
         message = self._message(riders=0, peers=len(peers))
-        message["m"] = [self.membership.me.to_entry().to_json()]
+        message["m"] = [self.membership.local_member.to_entry().to_json()]
         await self._push(message, peers)
         await self.link.close()
 
@@ -362,7 +364,7 @@
             "x": self.crash_news.riders(riders, peers),
             "t": self._recorder.clock.tick(time.time()),
             **repairs_lib.claim_to_json(self.routes()),
-            "a": self.membership.me.address,
+            "a": self.membership.local_member.address,
         }
 
     def _take(self, message: dict[str, Any], sender: str = "") -> None:
@@ -389,7 +391,7 @@
     def _note_member(self, change: membership_lib.Change) -> None:
         member = change.member
         self.repairs.changed()
-        mine = member.node_id == self.membership.me.node_id
+        mine = member.node_id == self.membership.local_member.node_id
         self._member_rumors.add(member.node_id, first=mine)
         self._news.set()
         self._on_members()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/policies.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/policies.py
@@ -72,7 +72,7 @@
 
     def watching(self) -> bool:
         """Whether this node is one of its data centre's watchers."""
-        me = self._exchange.membership.me
+        me = self._exchange.membership.local_member
         return me.node_id in watchers_of(
             self._exchange.membership.usable(), me.data_center
         )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_choice.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_choice.py
@@ -35,7 +35,7 @@
         return min(
             filter(self._may_answer, self._membership.usable()),
             key=lambda member: (member.incarnation, member.node_id),
-            default=self._membership.me,
+            default=self._membership.local_member,
         )
 
     def avoid(self, node_id: str) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -170,7 +170,7 @@
         waiting, self._waiting = self._waiting, {}
         spent = self._local.report()
         report = quotas.Report(
-            self._exchange.membership.me.node_id,
+            self._exchange.membership.local_member.node_id,
             spent,
             tuple(
                 quotas.Wanted(account, rank, len(answers))
@@ -192,7 +192,7 @@
         """Asks the keeper, another one if it does not answer, or itself."""
         for _ in range(TRIES):
             keeper = self._choice.choose()
-            if keeper.node_id == self._exchange.membership.me.node_id:
+            if keeper.node_id == self._exchange.membership.local_member.node_id:
                 break
             try:
                 answer = await self._exchange.link.ask(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_news.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_news.py
@@ -126,7 +126,7 @@
 
     def _following(self) -> list[members_lib.Member]:
         """Returns the own data centre, from the one whose name comes next."""
-        mine = self._membership.me.node_id
+        mine = self._membership.local_member.node_id
         near = self._membership.near_peers(len(self._membership.members()))
         return sorted(near, key=lambda m: (m.node_id <= mine, m.node_id))
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/seeds.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/seeds.py
@@ -61,7 +61,7 @@
             await asyncio.sleep(_CHECK_S)
 
     async def _write_once(self, platform: platform_lib.PlatformClient) -> None:
-        me = self._exchange.membership.me
+        me = self._exchange.membership.local_member
         asked_at_s = time.monotonic()
         grant = await platform.acquire(
             f"seeds-{me.data_center}", me.boot_id, _LEASE_S
@@ -84,7 +84,7 @@
         near = [
             m.address
             for m in membership.usable()
-            if m.data_center == membership.me.data_center
+            if m.data_center == membership.local_member.data_center
         ]
         return sorted(near)[:_SEEDS]
 
--- a/packages/burdockfront-node/src/burdockfront_node/operators.py
+++ b/packages/burdockfront-node/src/burdockfront_node/operators.py
@@ -19,7 +19,7 @@
     async def status(self, message: dict[str, Any]) -> dict[str, Any]:
         """Returns what this node knows and does."""
         parts = self._parts
-        me = parts.exchange.membership.me
+        me = parts.exchange.membership.local_member
         configuration = parts.exchange.configuration
         return {
             "node": me.node_id,
--- a/packages/burdockfront/src/burdockfront/membership.py
+++ b/packages/burdockfront/src/burdockfront/membership.py
@@ -55,30 +55,33 @@
     """The members as one node knows them.
 
     Args:
-        me: The node's own entry, alive.
+        local_member: The node's own entry, alive.
         timing: Pace of failure detection.
         rng: Source of randomness.
     """
 
     def __init__(
-        self, me: members_lib.Member, timing: Timing, rng: random.Random
+        self,
+        local_member: members_lib.Member,
+        timing: Timing,
+        rng: random.Random,
     ):
-        self._me = me
+        self._local = local_member
         self._timing = timing
         self._rng = rng
         self._table = tables.Table()
         self._members: dict[str, members_lib.Member] = {}
         self._since_s: dict[str, float] = {}
         self._probe_order = probe_order.ProbeOrder(
-            me.data_center, probe_order.ProbeRates(), rng
+            local_member.data_center, probe_order.ProbeRates(), rng
         )
         self._refuted = 0
-        self._put(me, 0.0)
+        self._put(local_member, 0.0)
 
     @property
-    def me(self) -> members_lib.Member:
+    def local_member(self) -> members_lib.Member:
         """The node's own entry."""
-        return self._me
+        return self._local
 
     @property
     def table(self) -> tables.Table:
@@ -109,10 +112,10 @@
 
     def update_me(self, now_s: float, **changes: Any) -> Change:
         """Changes this node's own entry under a new revision."""
-        self._me = dataclasses.replace(
-            self._me, revision=self._me.revision + 1, **changes
+        self._local = dataclasses.replace(
+            self._local, revision=self._local.revision + 1, **changes
         )
-        return self._put(self._me, now_s)
+        return self._put(self._local, now_s)
 
     def merge(self, entry: tables.Entry, now_s: float) -> Change | None:
         """Takes an entry from a peer.
@@ -125,7 +128,7 @@
             InvalidInputError: The entry does not describe a member.
         """
         member = members_lib.member_from_entry(entry)
-        if member.node_id == self._me.node_id:
+        if member.node_id == self._local.node_id:
             return self._refute(member, now_s)
         before = self._members.get(member.node_id)
         if before is None and member.status in (
@@ -166,7 +169,7 @@
 
     def next_probe(self) -> members_lib.Member | None:
         """Returns the member to probe in this period."""
-        mine = self._me.node_id
+        mine = self._local.node_id
         others = [m for m in self._members.values() if m.node_id != mine]
         return self._probe_order.next(others)
 
@@ -228,13 +231,13 @@
         return periods * self._timing.period_s
 
     def _refute(self, rumor: members_lib.Member, now_s: float) -> Change | None:
-        mine = self._me
-        if self._me.status is members_lib.Status.LEFT:
+        mine = self._local
+        if self._local.status is members_lib.Status.LEFT:
             return None
         if rumor.incarnation > mine.incarnation:
             # Our wall clock stepped back since the last start: the old
             # process's entry would win for ever. Go above it.
-            self._me = dataclasses.replace(
+            self._local = dataclasses.replace(
                 mine, incarnation=rumor.incarnation + 1
             )
             return self.update_me(now_s)
@@ -242,7 +245,7 @@
         if same or rumor.incarnation < mine.incarnation:
             return None
         self._refuted += 1
-        self._me = dataclasses.replace(
+        self._local = dataclasses.replace(
             mine, revision=max(mine.revision, rumor.revision)
         )
         return self.update_me(now_s)
@@ -251,7 +254,7 @@
         self, node_id: str, status: members_lib.Status, now_s: float
     ) -> Change | None:
         member = self._members.get(node_id)
-        if member is None or node_id == self._me.node_id:
+        if member is None or node_id == self._local.node_id:
             return None
         if members_lib.RANK[member.status] >= members_lib.RANK[status]:
             return None
@@ -276,16 +279,16 @@
         return self._rng.sample(members, min(most, len(members)))
 
     def _near(self) -> list[members_lib.Member]:
-        mine = self._me.data_center
+        mine = self._local.data_center
         return [m for m in self._others("") if m.data_center == mine]
 
     def _far(self) -> list[members_lib.Member]:
-        mine = self._me.data_center
+        mine = self._local.data_center
         return [m for m in self._others("") if m.data_center != mine]
 
     def _others(self, besides: str) -> list[members_lib.Member]:
         return [
             m
             for m in self.usable()
-            if m.node_id not in (self._me.node_id, besides)
+            if m.node_id not in (self._local.node_id, besides)
         ]
--- a/packages/burdockfront/src/burdockfront/watchers.py
+++ b/packages/burdockfront/src/burdockfront/watchers.py
@@ -49,7 +49,7 @@
 
 def watches(membership: membership_lib.Membership) -> bool:
     """Whether this node is to watch the store now."""
-    mine = membership.me.node_id
+    mine = membership.local_member.node_id
     return any(member.node_id == mine for member in watchers_of(membership))
 
 
--- a/tests/properties/test_exchange.py
+++ b/tests/properties/test_exchange.py
@@ -131,7 +131,10 @@
         for node in self.nodes.values():
             for name in _NAMES:
                 found = node.get(name)
-                assert found.incarnation == self.nodes[name].me.incarnation
+                assert (
+                    found.incarnation
+                    == self.nodes[name].local_member.incarnation
+                )
                 assert found.status is members.Status.ALIVE
 
     def _exchange(self, name, other):
--- a/tests/properties/test_routes_among_nodes.py
+++ b/tests/properties/test_routes_among_nodes.py
@@ -163,7 +163,7 @@
                 self._look_at(node, loop.time())
 
     def _look_at(self, node: exchange_model.Node, now_s: float) -> None:
-        process = node.membership.me.boot_id
+        process = node.membership.local_member.boot_id
         version = node.book.version
         assert version >= self._seen.get(process, -1), "went back"
         self._seen[process] = version
--- a/tests/unit/test_many_nodes.py
+++ b/tests/unit/test_many_nodes.py
@@ -234,7 +234,7 @@
 def _crash(fleet: exchange_model.Fleet, number: int) -> None:
     """A server crashes beside a node, under the one request that does it."""
     node = fleet.nodes[f"node-{number}"]
-    crash_id = f"{node.membership.me.boot_id}.{number}"
+    crash_id = f"{node.membership.local_member.boot_id}.{number}"
     entry = builders.a_crash(crash_id, _DEADLY, at_s=time.time())
     node.exchange.crash_news.tell(entry)
 
--- a/tests/unit/test_state.py
+++ b/tests/unit/test_state.py
@@ -140,4 +140,4 @@
     old = builders.a_member("n1", incarnation=9, status=members.Status.DEAD)
     change = mine.merge(old.to_entry(), 1.0)
     assert change is not None
-    assert mine.me.incarnation > 9
+    assert mine.local_member.incarnation > 9
