--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -178,7 +178,7 @@
     async def _announce(self) -> None:
         """A backend server is heard of some time after the node's start."""
         await asyncio.sleep(random.Random(self.name).uniform(0.1, 1.5))
-        self.exchange.update_me(service=self._service, slots=12)
+        self.exchange.update_local_member(service=self._service, slots=12)
 
     def _store_returned(self) -> None:
         self.directory.store_returned()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -67,7 +67,7 @@
         draining = not self._guard.takes_work
         me = self._exchange.membership.local_member
         if (me.service, me.slots, me.draining) != (service, slots, draining):
-            self._exchange.update_me(
+            self._exchange.update_local_member(
                 service=service, slots=slots, draining=draining
             )
         if announced and slots != me.slots:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -151,9 +151,11 @@
 
     # ---- local changes -------------------------------------------------
 
-    def update_me(self, **changes: Any) -> None:
+    def update_local_member(self, **changes: Any) -> None:
         """Changes this node's own entry and passes it on."""
-        change = self.membership.update_me(time.monotonic(), **changes)
+        change = self.membership.update_local_member(
+            time.monotonic(), **changes
+        )
         self._note_member(change)
 
     def leave(self) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/other_nodes.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/other_nodes.py
@@ -37,7 +37,7 @@
 
     def tell_store_away(self, away: bool) -> None:
         """Tells them whether the store answers this node."""
-        self._exchange.update_me(store_away=away)
+        self._exchange.update_local_member(store_away=away)
 
     def count(self) -> int:
         """Returns how many nodes are known."""
--- a/packages/burdockfront/src/burdockfront/membership.py
+++ b/packages/burdockfront/src/burdockfront/membership.py
@@ -110,7 +110,7 @@
             in (members_lib.Status.ALIVE, members_lib.Status.SUSPECT)
         ]
 
-    def update_me(self, now_s: float, **changes: Any) -> Change:
+    def update_local_member(self, now_s: float, **changes: Any) -> Change:
         """Changes this node's own entry under a new revision."""
         self._local = dataclasses.replace(
             self._local, revision=self._local.revision + 1, **changes
@@ -221,7 +221,7 @@
 
     def leave(self, now_s: float) -> Change:
         """Marks this node as gone for good, by its own will."""
-        return self.update_me(
+        return self.update_local_member(
             now_s, status=members_lib.Status.LEFT, draining=True
         )
 
@@ -240,7 +240,7 @@
             self._local = dataclasses.replace(
                 mine, incarnation=rumor.incarnation + 1
             )
-            return self.update_me(now_s)
+            return self.update_local_member(now_s)
         same = rumor.to_entry().version <= mine.to_entry().version
         if same or rumor.incarnation < mine.incarnation:
             return None
@@ -248,7 +248,7 @@
         self._local = dataclasses.replace(
             mine, revision=max(mine.revision, rumor.revision)
         )
-        return self.update_me(now_s)
+        return self.update_local_member(now_s)
 
     def _demote(
         self, node_id: str, status: members_lib.Status, now_s: float
--- a/tests/properties/test_exchange.py
+++ b/tests/properties/test_exchange.py
@@ -79,7 +79,7 @@
 
     @stateful.rule(name=_name)
     def drain(self, name):
-        self.nodes[name].update_me(self.now_s, draining=True)
+        self.nodes[name].update_local_member(self.now_s, draining=True)
 
     @stateful.rule(seconds=strategies.sampled_from([1.0, 10.0]))
     def time_passes(self, seconds):
--- a/tests/unit/test_leaving_news.py
+++ b/tests/unit/test_leaving_news.py
@@ -95,7 +95,7 @@
         link = _Link()
         exchange = _an_exchange(link)
         exchange.on_push(_news_of(300))
-        exchange.update_me(draining=True)
+        exchange.update_local_member(draining=True)
         await _push_for_a_while(exchange)
         return link.sent[0]
 
