--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -289,7 +289,7 @@
         return True
 
     async def _reached_by_others(self, member: members_lib.Member) -> bool:
-        helpers = self.membership.helpers(member.node_id, _HELPERS)
+        helpers = self.membership.indirect_probers(member.node_id, _HELPERS)
         asked = [
             self.link.ask(
                 helper.address,
--- a/packages/burdockfront/src/burdockfront/membership.py
+++ b/packages/burdockfront/src/burdockfront/membership.py
@@ -177,7 +177,9 @@
         """Notes that a member answered a probe."""
         self._probe_order.answered(member)
 
-    def helpers(self, node_id: str, most: int) -> list[members_lib.Member]:
+    def indirect_probers(
+        self, node_id: str, most: int
+    ) -> list[members_lib.Member]:
         """Returns members who may be asked to probe another one."""
         others = self._others(besides=node_id)
         return self._rng.sample(others, min(most, len(others)))
