--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -3,7 +3,7 @@
 * Each period one member is probed. Probe and answer carry the digests of both
   tables and recent changes. Unequal digests lead to a repair (`repairs`).
 * A change is pushed at once to a few peers, who push it on: to some of the own
-  data centre, and now and then to one of another (`Membership.far_share`).
+  data centre, and now and then to one of another (`Membership.far_fanout`).
 * Crashes of backend servers go with the messages as well (`crash_news`).
 * Messages carry the version of the routes in force, and how long ago it was
   known to be the newest. Whoever hears of a newer one fetches the table from
@@ -330,7 +330,7 @@
         near = self.membership.near_peers(fanout)
         if not near:
             return self.membership.far_peers(fanout)
-        share = min(float(fanout), self.membership.far_share())
+        share = min(float(fanout), self.membership.far_fanout())
         return near + self.membership.far_peers(int(share + self._rng.random()))
 
     async def _push(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_news.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_news.py
@@ -136,7 +136,7 @@
         names = sorted({member.data_center for member in far})
         if first:
             return names
-        share = self._membership.far_share() + self._rng.random()
+        share = self._membership.far_fanout() + self._rng.random()
         return self._rng.sample(names, min(len(names), int(share)))
 
     def _members_of(self, data_center: str) -> list[members_lib.Member]:
--- a/packages/burdockfront/src/burdockfront/membership.py
+++ b/packages/burdockfront/src/burdockfront/membership.py
@@ -192,7 +192,7 @@
         """Returns members of other data centres, drawn at random."""
         return self._draw(self._far(), most)
 
-    def far_share(self) -> float:
+    def far_fanout(self) -> float:
         """Returns how many far members a node tells its news on average.
 
         So many that the nodes of this data centre together tell one member of
