--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -260,7 +260,7 @@
             # The second try uses a new connection: the first may have met
             # one that went silent, which says nothing about the member.
             if await self._probe_once(member.address):
-                self.membership.answered(member)
+                self.membership.record_probe_answer(member)
                 return
             if member.status is members_lib.Status.ALIVE:
                 self._on_unanswered()
--- a/packages/burdockfront/src/burdockfront/membership.py
+++ b/packages/burdockfront/src/burdockfront/membership.py
@@ -146,7 +146,7 @@
         """Notes that nobody reached a member."""
         member = self._members.get(node_id)
         if member is not None:
-            self._probe_order.unreached(member)
+            self._probe_order.record_failure(member)
         return self._demote(node_id, members_lib.Status.SUSPECT, now_s)
 
     def advance(self, now_s: float) -> list[Change]:
@@ -173,9 +173,9 @@
         others = [m for m in self._members.values() if m.node_id != mine]
         return self._probe_order.next(others)
 
-    def answered(self, member: members_lib.Member) -> None:
+    def record_probe_answer(self, member: members_lib.Member) -> None:
         """Notes that a member answered a probe."""
-        self._probe_order.answered(member)
+        self._probe_order.record_answer(member)
 
     def indirect_probers(
         self, node_id: str, most: int
--- a/packages/burdockfront/src/burdockfront/probe_order.py
+++ b/packages/burdockfront/src/burdockfront/probe_order.py
@@ -71,12 +71,12 @@
             return self._rng.choice(dead)
         return self._next_doubted(living) or self._next_living(by_name, living)
 
-    def unreached(self, member: members_lib.Member) -> None:
+    def record_failure(self, member: members_lib.Member) -> None:
         """Notes that nobody reached a member."""
         if self._is_far(member):
             self._doubted = member.data_center
 
-    def answered(self, member: members_lib.Member) -> None:
+    def record_answer(self, member: members_lib.Member) -> None:
         """Notes that a member answered."""
         if member.data_center == self._doubted:
             self._doubted = ""
