--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -92,7 +92,7 @@
         self.membership = membership_lib.Membership(
             me, membership_lib.Timing(), rng
         )
-        self.book = routes_lib.RouteBook(rng)
+        self.book = routes_lib.RouteResolver(rng)
         self.ready = asyncio.Event()
         self._due = False
         link = _PeerLink(fleet, self.name)
--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -224,7 +224,7 @@
         )
         self.dispatcher.sender.local_guard = self._ask_own_guard
         self.dispatcher.sender.transport = self._ask_guard
-        book = routes_lib.RouteBook(self._rng)
+        book = routes_lib.RouteResolver(self._rng)
         book.accept(self._table)
         routed = base.RoutedTools(
             book,
--- a/packages/burdockfront-node/src/burdockfront_node/account_status.py
+++ b/packages/burdockfront-node/src/burdockfront_node/account_status.py
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        book: routes_lib.RouteBook,
+        book: routes_lib.RouteResolver,
         quotas: quota_exchange_lib.QuotaExchange,
     ):
         self._book = book
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -54,7 +54,7 @@
         data_center: str,
         address: str,
         dialect: surroundings.Dialect,
-        book: routes_lib.RouteBook,
+        book: routes_lib.RouteResolver,
         route_watch: route_watch_lib.RouteWatch,
         incarnations: incarnations_lib.Incarnations,
         heartbeats: heartbeats_lib.Heartbeats,
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -45,7 +45,7 @@
         backends: backends_lib.Backends,
         recorder: timeline.Recorder,
         service: str,
-        book: routes_lib.RouteBook,
+        book: routes_lib.RouteResolver,
     ):
         self._address = address
         self._incarnations = incarnations
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_limits.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_limits.py
@@ -15,7 +15,7 @@
         slack: Requests beyond a limit that operators bear, in a window.
     """
 
-    def __init__(self, book: routes_lib.RouteBook, slack: float):
+    def __init__(self, book: routes_lib.RouteResolver, slack: float):
         self._book = book
         self._version = book.version
         self._new_since_s: dict[str, float] = {}
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        book: routes.RouteBook,
+        book: routes.RouteResolver,
         recorder: timeline.Recorder,
         duty: Callable[[], Duty],
         ask: Callable[[], Awaitable[None]],
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_intake.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_intake.py
@@ -28,7 +28,7 @@
     def __init__(
         self,
         read_table: ReadTable,
-        book: routes.RouteBook,
+        book: routes.RouteResolver,
         recorder: timeline.Recorder,
         on_news: Callable[[str], None],
         age_s: Callable[[], float | None],
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_joining.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_joining.py
@@ -33,7 +33,7 @@
         directory: directory_lib.Directory,
         exchange: exchange_lib.Exchange,
         route_watch: route_watch_lib.RouteWatch,
-        book: routes_lib.RouteBook,
+        book: routes_lib.RouteResolver,
         recorder: timeline.Recorder,
         on_members: Callable[[], None],
         on_ready: Callable[[], None],
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_peers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_peers.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        book: routes.RouteBook,
+        book: routes.RouteResolver,
         link: peer_link.PeerLink,
         accept: Callable[[routes.RouteTable, str], None],
         on_lost: Callable[[], None],
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -86,7 +86,7 @@
         store: store_lib.StoreClient,
         prefix: str,
         read_table: route_intake.ReadTable,
-        book: routes.RouteBook,
+        book: routes.RouteResolver,
         link: peer_link.PeerLink,
         recorder: timeline.Recorder,
         on_return: Callable[[], None],
--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -128,7 +128,7 @@
         quotas: What client accounts may spend.
     """
 
-    book: routes.RouteBook
+    book: routes.RouteResolver
     reserved: frozenset[str]
     origin_service: str
     is_new_work: Callable[[str], bool]
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -72,7 +72,9 @@
         assert settings.routed is not None, "settings of a place with routes"
         self._place = settings.routed
         self._adapter = surroundings.load(settings.routed.adapter)
-        self._book = routes_lib.RouteBook(random.Random(secrets.randbits(64)))
+        self._book = routes_lib.RouteResolver(
+            random.Random(secrets.randbits(64))
+        )
         self._incarnations = incarnations_lib.Incarnations()
         self._refuses_after_s: float | None = None
         self._watchers: tuple[str, ...] = ()
--- a/packages/burdockfront-node/src/burdockfront_node/routed_entry.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_entry.py
@@ -29,7 +29,7 @@
         self,
         chain: base.Next,
         dialect: surroundings.Dialect,
-        book: routes.RouteBook,
+        book: routes.RouteResolver,
         takes_requests: Callable[[], bool],
     ):
         self._chain = chain
--- a/packages/burdockfront/src/burdockfront/routes.py
+++ b/packages/burdockfront/src/burdockfront/routes.py
@@ -157,7 +157,7 @@
     service: str
 
 
-class RouteBook:
+class RouteResolver:
     """The table in force at one node.
 
     Args:
--- a/tests/route_chain.py
+++ b/tests/route_chain.py
@@ -35,7 +35,7 @@
         parent: context_lib.RequestContext | None = None,
         quotas: base.Quotas | None = None,
     ):
-        book = routes.RouteBook(random.Random(1))
+        book = routes.RouteResolver(random.Random(1))
         if table is not None:
             book.accept(table)
         self.recorder = timeline.Recorder("n1", "dc1", 10)
--- a/tests/unit/test_accounts.py
+++ b/tests/unit/test_accounts.py
@@ -98,7 +98,7 @@
 
 def test_limit_is_new_where_it_came_into_force_and_not_at_a_start():
     """Guards against a quota that is full again wherever a process starts."""
-    book = routes.RouteBook(random.Random(1))
+    book = routes.RouteResolver(random.Random(1))
     limited = builders.an_account("acme", "k", rate_per_s=5.0)
     book.accept(builders.a_table(1, accounts=(limited,)))
     assert not book.accounts.newly_limited
--- a/tests/unit/test_freshness.py
+++ b/tests/unit/test_freshness.py
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self.recorder = timeline.Recorder("n1", "dc1", 10)
         self.belief = route_freshness.RouteFreshness(
-            routes.RouteBook(random.Random(1)),
+            routes.RouteResolver(random.Random(1)),
             self.recorder,
             lambda: route_freshness.Duty(
                 watching=False, store_away=True, nodes=10
--- a/tests/unit/test_quota_exchange.py
+++ b/tests/unit/test_quota_exchange.py
@@ -62,7 +62,7 @@
     link = _Link()
     found = []
     for number in range(count):
-        book = routes.RouteBook(random.Random(1))
+        book = routes.RouteResolver(random.Random(1))
         book.accept(builders.a_table(1, accounts=(_ACME,)))
         ready = asyncio.Event()
         ready.set()
--- a/tests/unit/test_route_peers.py
+++ b/tests/unit/test_route_peers.py
@@ -39,7 +39,7 @@
     """One node that is told of version 5."""
 
     def __init__(self) -> None:
-        self.book = routes.RouteBook(random.Random(1))
+        self.book = routes.RouteResolver(random.Random(1))
         self.link = _Link(5)
         self.lost: list[float] = []
         self.peers = route_peers.RoutePeers(
--- a/tests/unit/test_routes.py
+++ b/tests/unit/test_routes.py
@@ -12,8 +12,8 @@
 from tests import builders
 
 
-def _book(*tables: routes.RouteTable) -> routes.RouteBook:
-    book = routes.RouteBook(random.Random(1))
+def _book(*tables: routes.RouteTable) -> routes.RouteResolver:
+    book = routes.RouteResolver(random.Random(1))
     for table in tables:
         book.accept(table)
     return book
@@ -47,7 +47,7 @@
 
 @hypothesis.given(strategies.permutations([1, 2, 3, 4, 5]))
 def test_whatever_the_order_the_newest_table_ends_up_in_force(order):
-    book = routes.RouteBook(random.Random(1))
+    book = routes.RouteResolver(random.Random(1))
     highest = -1
     for version in order:
         book.accept(builders.a_table(version))
@@ -63,7 +63,7 @@
     shares = tuple(
         routes.Share(f"s{i}", float(w)) for i, w in enumerate(weights)
     )
-    book = routes.RouteBook(random.Random(seed))
+    book = routes.RouteResolver(random.Random(seed))
     book.accept(builders.a_table(1, builders.a_route("r", shares=shares)))
     counts = collections.Counter(
         book.find("shop.example", "/a/x").service for _ in range(300)
@@ -77,7 +77,7 @@
     # A change of another route comes every second. If each change began the
     # split anew, its first service would get more than its weight.
     shares = (routes.Share("big", 9.0), routes.Share("small", 1.0))
-    book = routes.RouteBook(random.Random(3))
+    book = routes.RouteResolver(random.Random(3))
     counts: collections.Counter[str] = collections.Counter()
     for version in range(100):
         book.accept(
