--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -68,7 +68,7 @@
     caller_waits_s: float | None = None
     routes_version: int = -1
     host: str = ""
-    found: routes.Found | None = None
+    found: routes.RouteMatch | None = None
     account: accounts.Account | None = None
     spending: Spending = Spending.NOTHING
 
--- a/packages/burdockfront/src/burdockfront/routes.py
+++ b/packages/burdockfront/src/burdockfront/routes.py
@@ -150,7 +150,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
+class RouteMatch:
     """The route of a request, and the service that this one goes to."""
 
     route: Route
@@ -239,7 +239,7 @@
                 )
         return True
 
-    def find(self, host: str, target: str) -> Found | None:
+    def find(self, host: str, target: str) -> RouteMatch | None:
         """Returns the route with the longest prefix of a target's path.
 
         A route that is split goes on to its next service.
@@ -248,7 +248,7 @@
         if key is None:
             return None
         route = self._by_prefix[key]
-        return Found(route, self._service_of(key, route))
+        return RouteMatch(route, self._service_of(key, route))
 
     def route_of(self, host: str, target: str) -> Route | None:
         """Returns the same route, and leaves its split as it is."""
