--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -80,7 +80,7 @@
 
     def _knows(self, service: str) -> bool:
         """Whether a service is this VM's own, or one that operators named."""
-        return service == self._service or self._book.names(service)
+        return service == self._service or self._book.knows_service(service)
 
     def _announce(self) -> None:
         current = self._incarnations.current
--- a/packages/burdockfront/src/burdockfront/routes.py
+++ b/packages/burdockfront/src/burdockfront/routes.py
@@ -195,7 +195,7 @@
                 return entry.path
         return ""
 
-    def names(self, service: str) -> bool:
+    def knows_service(self, service: str) -> bool:
         """Whether operators named a service."""
         return service in self._services
 
