--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -176,7 +176,7 @@
             document=entry.key,
             revision=entry.version[0],
             change_id=str(entry.value.get("change_id", "")),
-            why=rejected.why if rejected else "",
+            why=rejected.reason if rejected else "",
         )
         return True
 
--- a/packages/burdockfront-node/src/burdockfront_node/operators.py
+++ b/packages/burdockfront-node/src/burdockfront_node/operators.py
@@ -44,7 +44,7 @@
                 for name, applied in configuration.applied().items()
             },
             "rejected": {
-                name: {"revision": r.revision, "why": r.why}
+                name: {"revision": r.revision, "why": r.reason}
                 for name, r in configuration.rejected().items()
             },
             "counters": parts.metrics.counters(),
--- a/packages/burdockfront/src/burdockfront/configuration.py
+++ b/packages/burdockfront/src/burdockfront/configuration.py
@@ -42,7 +42,7 @@
 
     revision: int
     change_id: str
-    why: str
+    reason: str
 
 
 class Configuration:
