--- a/packages/burdockfront-node/src/burdockfront_node/controllers/seeds.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/seeds.py
@@ -68,7 +68,7 @@
         )
         if grant is None:
             return
-        self._holder.granted(grant, asked_at_s)
+        self._holder.record_grant(grant, asked_at_s)
         key = PREFIX + me.data_center
         snapshot = await platform.read(key)
         found = next((i for i in snapshot.items if i.key == key), None)
--- a/packages/burdockfront/src/burdockfront/leases.py
+++ b/packages/burdockfront/src/burdockfront/leases.py
@@ -40,19 +40,19 @@
         self._grant: Grant | None = None
         self._until_s = 0.0
 
-    def granted(self, grant: Grant, asked_at_s: float) -> None:
+    def record_grant(self, grant: Grant, requested_at_s: float) -> None:
         """Takes a grant or a renewal.
 
         Args:
             grant: What the platform said.
-            asked_at_s: Our monotonic clock just before we asked.
+            requested_at_s: Our monotonic clock just before we asked.
         """
         newer = self._grant is None or (
             grant.fencing_token >= self._grant.fencing_token
         )
         if newer:
             self._grant = grant
-            self._until_s = asked_at_s + grant.duration_s - self._margin_s
+            self._until_s = requested_at_s + grant.duration_s - self._margin_s
 
     def holds(self, now_s: float) -> bool:
         """Tells whether the holder may act now."""
--- a/tests/unit/test_state.py
+++ b/tests/unit/test_state.py
@@ -77,7 +77,7 @@
     # The process is paused for a minute and wakes up still believing in its
     # lease. Its successor already acts. The token check stops it.
     holder = leases.LeaseHolder(margin_s=1.0)
-    holder.granted(leases.Grant("seeds", 4, 10.0), asked_at_s=100.0)
+    holder.record_grant(leases.Grant("seeds", 4, 10.0), requested_at_s=100.0)
     assert holder.token(105.0) == 4
     with pytest.raises(errors.LeaseLostError, match="nothing was done"):
         holder.token(160.0)
@@ -85,8 +85,8 @@
 
 def test_late_answer_to_an_old_request_does_not_extend_a_lease():
     holder = leases.LeaseHolder(margin_s=0.0)
-    holder.granted(leases.Grant("seeds", 4, 10.0), asked_at_s=100.0)
-    holder.granted(leases.Grant("seeds", 3, 10.0), asked_at_s=150.0)
+    holder.record_grant(leases.Grant("seeds", 4, 10.0), requested_at_s=100.0)
+    holder.record_grant(leases.Grant("seeds", 3, 10.0), requested_at_s=150.0)
     assert not holder.holds(120.0)
 
 
