--- a/packages/burdockfront-node/src/burdockfront_node/availability.py
+++ b/packages/burdockfront-node/src/burdockfront_node/availability.py
@@ -130,6 +130,6 @@
     announcement: backend_lib.Announcement, before: backend_lib.Announcement
 ) -> bool:
     """Whether an announcement shows that the server no longer leaves."""
-    began_anew = announcement.start != before.start
+    began_anew = announcement.incarnation != before.incarnation
     began_anew = began_anew or announcement.state == "cold"
     return began_anew or before.draining
--- a/packages/burdockfront-node/src/burdockfront_node/backend.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend.py
@@ -50,7 +50,7 @@
         state: `ready`, `cold` or `draining`.
         load: Its own report, shown to operators only.
         embedded: It routes its deeper calls itself, with the library.
-        start: Which start of it this is, as far as it tells.
+        incarnation: Which start of it this is, as far as it tells.
         said: Whether it names a limit; None if it says nothing about that.
     """
 
@@ -60,7 +60,7 @@
     state: str
     load: float
     embedded: bool
-    start: incarnations.Start = incarnations.NAMELESS
+    incarnation: incarnations.Start = incarnations.NAMELESS
     said: self_reports.Said | None = None
 
     @property
@@ -92,6 +92,6 @@
         state=model.state,
         load=model.load,
         embedded=model.embedded,
-        start=incarnations.Start(model.instance),
+        incarnation=incarnations.Start(model.instance),
         said=said,
     )
--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -45,23 +45,25 @@
             incarnations.Start, self_reports.SelfReport
         ] = collections.OrderedDict()
 
-    def in_service(self, start: incarnations.Start) -> None:
+    def in_service(self, incarnation: incarnations.Start) -> None:
         """Notes which start is in service; another one has said nothing yet."""
-        if start.may_be(self.report.start):
-            if start.born_ms is not None:
+        if incarnation.may_be(self.report.incarnation):
+            if incarnation.born_ms is not None:
                 # Known now, it tells the next start of this id from this one.
-                self.report = dataclasses.replace(self.report, start=start)
+                self.report = dataclasses.replace(
+                    self.report, incarnation=incarnation
+                )
             return
         self._answered = False
         self.rate.begin_anew()
-        self._believe(self_reports.SelfReport(start), "start")
+        self._believe(self_reports.SelfReport(incarnation), "start")
         for report in list(self._told.values()):
             self.told(report)
 
     def answered(
         self,
         said: self_reports.Said,
-        start: incarnations.Start,
+        incarnation: incarnations.Start,
         handed_s: float,
     ) -> None:
         """Learns from an answer that came just now.
@@ -71,7 +73,7 @@
             start: Which start gave it.
             handed_s: When its request was handed over.
         """
-        if not start.may_be(self.report.start):
+        if not incarnation.may_be(self.report.incarnation):
             return
         self._answered = True
         if said.unreadable:
@@ -90,12 +92,12 @@
 
         What answers said to this process is newer.
         """
-        if not report.start.may_be(self.report.start):
-            self._told[report.start] = report
+        if not report.incarnation.may_be(self.report.incarnation):
+            self._told[report.incarnation] = report
             if len(self._told) > _MOST_TOLD:
                 self._told.popitem(last=False)
             if report.leaving:
-                self.on_leaving(report.start)
+                self.on_leaving(report.incarnation)
             return
         believed = self.report
         if report.leaving:
@@ -124,7 +126,7 @@
         """
         if told is None and self.report.is_plain:
             return None
-        if self.report.start == incarnations.NAMELESS:
+        if self.report.incarnation == incarnations.NAMELESS:
             # Remembered elsewhere, it would keep the next start out as well.
             return dataclasses.replace(self.report, leaving=False)
         return self.report
@@ -137,7 +139,7 @@
             self._recorder.record(
                 time.time(),
                 "backend.limit",
-                instance=report.start.instance_id,
+                instance=report.incarnation.instance_id,
                 before=before.limit_per_s,
                 limit_per_s=report.limit_per_s,
                 source=source,
@@ -146,10 +148,10 @@
             self._recorder.record(
                 time.time(),
                 "backend.says-it-leaves",
-                instance=report.start.instance_id,
+                instance=report.incarnation.instance_id,
                 source=source,
             )
-            self.on_leaving(report.start)
+            self.on_leaving(report.incarnation)
 
     def _note_unreadable(self, value: str) -> None:
         if value == self._unreadable:
@@ -158,11 +160,11 @@
         self._recorder.record(
             time.time(),
             "backend.limit-unreadable",
-            instance=self.report.start.instance_id,
+            instance=self.report.incarnation.instance_id,
             value=value[:40],
             limit_per_s=self.report.limit_per_s,
         )
 
 
-def _ignore(start: incarnations.Start) -> None:
+def _ignore(incarnation: incarnations.Start) -> None:
     """Stands in until the guard listens."""
--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -131,7 +131,7 @@
             return answer
         # Nearly always there is nothing to learn.
         if said is not self_reports.NOTHING or not self._beliefs.is_plain:
-            self._beliefs.answered(said, announced.start, started_s)
+            self._beliefs.answered(said, announced.incarnation, started_s)
         return answer
 
     def _note_end(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -95,8 +95,8 @@
         )
         if health.said is not self_reports.NOTHING:
             # That it says nothing here does not show that it names no limit.
-            start = incarnations_lib.Start(health.instance_id)
-            self._beliefs.answered(health.said, start, asked_s)
+            incarnation = incarnations_lib.Start(health.instance_id)
+            self._beliefs.answered(health.said, incarnation, asked_s)
 
     async def _ask(self, path: str) -> surroundings.Health | None:
         request = connection_lib.encode_request(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -73,9 +73,9 @@
         else:
             self._record("backend.left", instance_id, -1)
 
-    def said_leaving(self, start: incarnations_lib.Start) -> None:
+    def said_leaving(self, incarnation: incarnations_lib.Start) -> None:
         """Takes that a start said on an answer that it leaves."""
-        if self._incarnations.leave_start(start):
+        if self._incarnations.leave_start(incarnation):
             self._announce()
 
     def _knows(self, service: str) -> bool:
@@ -107,7 +107,7 @@
                 state="draining" if current.leaving else "ready",
                 load=0.0,
                 embedded=False,
-                start=incarnations_lib.start_of(current),
+                incarnation=incarnations_lib.start_of(current),
             )
         )
 
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -170,10 +170,10 @@
     def announce(self, announcement: backend_lib.Announcement) -> None:
         """Takes an announcement of the backend server."""
         before = self.announcement
-        self.beliefs.in_service(announcement.start)
+        self.beliefs.in_service(announcement.incarnation)
         if announcement.said is not None:
             self.beliefs.answered(
-                announcement.said, announcement.start, time.monotonic()
+                announcement.said, announcement.incarnation, time.monotonic()
             )
         self._availability.announce(announcement)
         if self._gate is None:
@@ -205,12 +205,12 @@
         """Notes that the backend server has gone silent."""
         self._availability.withdraw()
 
-    def _server_leaves(self, start: incarnations.Start) -> None:
+    def _server_leaves(self, incarnation: incarnations.Start) -> None:
         """Takes that a start of the server said on an answer that it leaves."""
         announced = self.announcement
-        if announced is not None and start.may_be(announced.start):
+        if announced is not None and incarnation.may_be(announced.incarnation):
             self._availability.server_leaves()
-        self.on_server_leaving(start)
+        self.on_server_leaving(incarnation)
 
     def drain(self, grace_s: float | None = None) -> None:
         """Takes no new work from now on, after a short grace.
@@ -411,7 +411,7 @@
         return None if limited and level >= levels.OPEN else level
 
 
-def _ignore(start: incarnations.Start) -> None:
+def _ignore(incarnation: incarnations.Start) -> None:
     """Where announcements are all that is known of a server."""
 
 
--- a/packages/burdockfront/src/burdockfront/incarnations.py
+++ b/packages/burdockfront/src/burdockfront/incarnations.py
@@ -105,19 +105,19 @@
         Returns:
             Whether it is from the incarnation in service now.
         """
-        start = start_of(beat)
-        known = self._find(start)
+        incarnation = start_of(beat)
+        known = self._find(incarnation)
         if known is not None and beat.sequence <= known.sequence:
             return False
         if known is None:
-            known = self._remember(start, beat)
+            known = self._remember(incarnation, beat)
         known.sequence = beat.sequence
         known.leaving = known.leaving or beat.leaving
         known.fresh += 1
         if known.leaving:
             beat = dataclasses.replace(beat, leaving=True)
         current = self._current
-        same = current is not None and start_of(current) == start
+        same = current is not None and start_of(current) == incarnation
         if current is None or same:
             if known.leaving and not same:
                 return False
@@ -147,19 +147,19 @@
         latest.leaving = True
         return False
 
-    def leave_start(self, start: Start) -> bool:
+    def leave_start(self, incarnation: Start) -> bool:
         """Notes that a start is found to leave, whatever its heartbeats say.
 
         Returns:
             Whether it is the one in service.
         """
         current = self._current
-        if current is not None and start.may_be(start_of(current)):
+        if current is not None and incarnation.may_be(start_of(current)):
             self._leave_current(current)
             return True
-        known = self._find(start)
+        known = self._find(incarnation)
         if known is None:
-            known = self._known[start] = _Known(0)
+            known = self._known[incarnation] = _Known(0)
             self._trim()
         known.leaving = True
         return False
@@ -179,39 +179,41 @@
             if known is not None:
                 known.fresh = 0
 
-    def _find(self, start: Start) -> _Known | None:
+    def _find(self, incarnation: Start) -> _Known | None:
         """Returns what is known of a start.
 
         What was heard without a time of birth, of a health check or an end,
         is taken for what is known of the first start that tells one.
         """
-        known = self._known.get(start)
-        if known is not None or start.born_ms is None:
+        known = self._known.get(incarnation)
+        if known is not None or incarnation.born_ms is None:
             return known
-        unborn = Start(start.instance_id, None)
+        unborn = Start(incarnation.instance_id, None)
         known = self._known.pop(unborn, None)
         if known is None:
             return None
-        self._known[start] = known
+        self._known[incarnation] = known
         current = self._current
         if current is not None and start_of(current) == unborn:
-            self._current = dataclasses.replace(current, born_ms=start.born_ms)
+            self._current = dataclasses.replace(
+                current, born_ms=incarnation.born_ms
+            )
         return known
 
     def _latest(self, instance_id: str) -> _Known | None:
-        for start in reversed(self._known):
-            if start.instance_id == instance_id:
-                return self._known[start]
+        for incarnation in reversed(self._known):
+            if incarnation.instance_id == instance_id:
+                return self._known[incarnation]
         return None
 
-    def _remember(self, start: Start, beat: Heartbeat) -> _Known:
+    def _remember(self, incarnation: Start, beat: Heartbeat) -> _Known:
         # One that was never heard of is a new start: it counts at once.
         fresh = _FRESH_TO_RETURN - 1
         current = self._current
-        if current is not None and _is_earlier(start, start_of(current)):
+        if current is not None and _is_earlier(incarnation, start_of(current)):
             fresh = 0
         known = _Known(beat.sequence - 1, fresh=fresh)
-        self._known[start] = known
+        self._known[incarnation] = known
         self._trim()
         return known
 
@@ -245,8 +247,8 @@
     return Start(beat.instance_id, beat.born_ms)
 
 
-def _is_earlier(start: Start, other: Start) -> bool:
+def _is_earlier(incarnation: Start, other: Start) -> bool:
     """Whether a start says that it was born before another one."""
-    if start.born_ms is None or other.born_ms is None:
+    if incarnation.born_ms is None or other.born_ms is None:
         return False
-    return start.born_ms < other.born_ms
+    return incarnation.born_ms < other.born_ms
--- a/packages/burdockfront/src/burdockfront/self_reports.py
+++ b/packages/burdockfront/src/burdockfront/self_reports.py
@@ -42,12 +42,12 @@
     """What one start of a backend server said last, as nodes tell each other.
 
     Attributes:
-        start: Who said it.
+        incarnation: Who said it.
         leaving: It wants no new work.
         limit_per_s: Requests a second that it takes; None: as many as it can.
     """
 
-    start: incarnations.Start
+    incarnation: incarnations.Start
     leaving: bool = False
     limit_per_s: float | None = None
 
@@ -58,10 +58,10 @@
 
     def to_parts(self) -> list[object]:
         """Returns it as it travels between nodes."""
-        start = self.start
+        incarnation = self.incarnation
         return [
-            start.instance_id,
-            start.born_ms,
+            incarnation.instance_id,
+            incarnation.born_ms,
             self.leaving,
             self.limit_per_s,
         ]
@@ -98,7 +98,7 @@
         """
         known = self.by_node.get(node_id)
         if known is not None and known.leaving:
-            if known.start.may_be(report.start):
+            if known.incarnation.may_be(report.incarnation):
                 report = dataclasses.replace(report, leaving=True)
             elif not from_server:
                 return
@@ -143,8 +143,8 @@
         raise _strange(parts)
     if limit_per_s is not None and not _is_limit(limit_per_s):
         raise _strange(parts)
-    start = incarnations.Start(instance_id, born_ms)
-    return SelfReport(start, leaving, limit_per_s)
+    incarnation = incarnations.Start(instance_id, born_ms)
+    return SelfReport(incarnation, leaving, limit_per_s)
 
 
 def _is_number(value: object) -> bool:
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -112,7 +112,7 @@
     heard.heard("n1", self_reports.SelfReport(_FIRST), True)
     assert heard.by_node["n1"].leaving, "it does not take that back"
     heard.heard("n1", self_reports.SelfReport(_NEXT), False)
-    assert heard.by_node["n1"].start == _FIRST
+    assert heard.by_node["n1"].incarnation == _FIRST
     heard.heard("n1", self_reports.SelfReport(_NEXT), True)
     assert not heard.by_node
 
