--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -219,7 +219,7 @@
                 "ready",
                 0.0,
                 False,
-                incarnations.Start(f"i-{place.node_id}"),
+                incarnations.Incarnation(f"i-{place.node_id}"),
             )
         )
         self.dispatcher.sender.local_guard = self._ask_own_guard
--- a/packages/burdockfront-node/src/burdockfront_node/backend.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend.py
@@ -60,7 +60,7 @@
     state: str
     load: float
     embedded: bool
-    incarnation: incarnations.Start = incarnations.NAMELESS
+    incarnation: incarnations.Incarnation = incarnations.NAMELESS
     said: self_reports.Said | None = None
 
     @property
@@ -92,6 +92,6 @@
         state=model.state,
         load=model.load,
         embedded=model.embedded,
-        incarnation=incarnations.Start(model.instance),
+        incarnation=incarnations.Incarnation(model.instance),
         said=said,
     )
--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -35,17 +35,17 @@
         self.report = self_reports.SelfReport(incarnations.NAMELESS)
         self.rate = rate_limits.RateLimit()
         self.is_plain = False
-        self.on_leaving: Callable[[incarnations.Start], None] = _ignore
+        self.on_leaving: Callable[[incarnations.Incarnation], None] = _ignore
         self._recorder = recorder
         self._unreadable = ""
         # Whether any answer of this start has come to this process.
         self._answered = False
         # What was told of starts that are not in service (yet).
         self._told: collections.OrderedDict[
-            incarnations.Start, self_reports.SelfReport
+            incarnations.Incarnation, self_reports.SelfReport
         ] = collections.OrderedDict()
 
-    def in_service(self, incarnation: incarnations.Start) -> None:
+    def in_service(self, incarnation: incarnations.Incarnation) -> None:
         """Notes which start is in service; another one has said nothing yet."""
         if incarnation.may_be(self.report.incarnation):
             if incarnation.born_ms is not None:
@@ -63,7 +63,7 @@
     def answered(
         self,
         said: self_reports.Said,
-        incarnation: incarnations.Start,
+        incarnation: incarnations.Incarnation,
         handed_s: float,
     ) -> None:
         """Learns from an answer that came just now.
@@ -166,5 +166,5 @@
         )
 
 
-def _ignore(incarnation: incarnations.Start) -> None:
+def _ignore(incarnation: incarnations.Incarnation) -> None:
     """Stands in until the guard listens."""
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -56,7 +56,7 @@
         dialect: surroundings.Dialect,
         book: routes_lib.RouteResolver,
         route_watch: route_watch_lib.RouteWatch,
-        incarnations: incarnations_lib.Incarnations,
+        incarnations: incarnations_lib.IncarnationTracker,
         heartbeats: heartbeats_lib.Heartbeats,
         beliefs: backend_beliefs.BackendBeliefs,
     ):
@@ -95,7 +95,7 @@
         )
         if health.said is not self_reports.NOTHING:
             # That it says nothing here does not show that it names no limit.
-            incarnation = incarnations_lib.Start(health.instance_id)
+            incarnation = incarnations_lib.Incarnation(health.instance_id)
             self._beliefs.answered(health.said, incarnation, asked_s)
 
     async def _ask(self, path: str) -> surroundings.Health | None:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -41,7 +41,7 @@
     def __init__(
         self,
         address: str,
-        incarnations: incarnations_lib.Incarnations,
+        incarnations: incarnations_lib.IncarnationTracker,
         backends: backends_lib.Backends,
         recorder: timeline.Recorder,
         service: str,
@@ -73,7 +73,7 @@
         else:
             self._record("backend.left", instance_id, -1)
 
-    def said_leaving(self, incarnation: incarnations_lib.Start) -> None:
+    def said_leaving(self, incarnation: incarnations_lib.Incarnation) -> None:
         """Takes that a start said on an answer that it leaves."""
         if self._incarnations.leave_start(incarnation):
             self._announce()
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -83,7 +83,7 @@
         quarantine: quarantine_lib.Quarantine | None = None,
     ):
         # Told of each start of the server that is found to leave.
-        self.on_server_leaving: Callable[[incarnations.Start], None]
+        self.on_server_leaving: Callable[[incarnations.Incarnation], None]
         self.on_server_leaving = _ignore
         self._lineage = lineage
         self._quarantine = quarantine or quarantine_lib.alone(recorder)
@@ -205,7 +205,7 @@
         """Notes that the backend server has gone silent."""
         self._availability.withdraw()
 
-    def _server_leaves(self, incarnation: incarnations.Start) -> None:
+    def _server_leaves(self, incarnation: incarnations.Incarnation) -> None:
         """Takes that a start of the server said on an answer that it leaves."""
         announced = self.announcement
         if announced is not None and incarnation.may_be(announced.incarnation):
@@ -411,7 +411,7 @@
         return None if limited and level >= levels.OPEN else level
 
 
-def _ignore(incarnation: incarnations.Start) -> None:
+def _ignore(incarnation: incarnations.Incarnation) -> None:
     """Where announcements are all that is known of a server."""
 
 
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -75,7 +75,7 @@
         self._book = routes_lib.RouteResolver(
             random.Random(secrets.randbits(64))
         )
-        self._incarnations = incarnations_lib.Incarnations()
+        self._incarnations = incarnations_lib.IncarnationTracker()
         self._refuses_after_s: float | None = None
         self._watchers: tuple[str, ...] = ()
         super().__init__(settings, path)
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -37,7 +37,7 @@
     def __init__(
         self,
         dialect: surroundings.Dialect,
-        incarnations: incarnations_lib.Incarnations,
+        incarnations: incarnations_lib.IncarnationTracker,
         attempts: attempts_lib.AttemptBook,
     ):
         self._dialect = dialect
--- a/packages/burdockfront/src/burdockfront/incarnations.py
+++ b/packages/burdockfront/src/burdockfront/incarnations.py
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
+class Incarnation:
     """Names an incarnation.
 
     Attributes:
@@ -75,7 +75,7 @@
 
 
 # Of a backend server that does not tell one start from another.
-NAMELESS = Start("")
+NAMELESS = Incarnation("")
 
 
 @dataclasses.dataclass(slots=True)
@@ -85,11 +85,11 @@
     fresh: int = 0
 
 
-class Incarnations:
+class IncarnationTracker:
     """The incarnations that one node has heard of."""
 
     def __init__(self) -> None:
-        self._known: collections.OrderedDict[Start, _Known] = (
+        self._known: collections.OrderedDict[Incarnation, _Known] = (
             collections.OrderedDict()
         )
         self._current: Heartbeat | None = None
@@ -142,12 +142,12 @@
         latest = self._latest(instance_id)
         if latest is None:
             # The end overtook the first heartbeat, whose start it is about.
-            latest = self._known[Start(instance_id, None)] = _Known(0)
+            latest = self._known[Incarnation(instance_id, None)] = _Known(0)
             self._trim()
         latest.leaving = True
         return False
 
-    def leave_start(self, incarnation: Start) -> bool:
+    def leave_start(self, incarnation: Incarnation) -> bool:
         """Notes that a start is found to leave, whatever its heartbeats say.
 
         Returns:
@@ -179,7 +179,7 @@
             if known is not None:
                 known.fresh = 0
 
-    def _find(self, incarnation: Start) -> _Known | None:
+    def _find(self, incarnation: Incarnation) -> _Known | None:
         """Returns what is known of a start.
 
         What was heard without a time of birth, of a health check or an end,
@@ -188,7 +188,7 @@
         known = self._known.get(incarnation)
         if known is not None or incarnation.born_ms is None:
             return known
-        unborn = Start(incarnation.instance_id, None)
+        unborn = Incarnation(incarnation.instance_id, None)
         known = self._known.pop(unborn, None)
         if known is None:
             return None
@@ -206,7 +206,7 @@
                 return self._known[incarnation]
         return None
 
-    def _remember(self, incarnation: Start, beat: Heartbeat) -> _Known:
+    def _remember(self, incarnation: Incarnation, beat: Heartbeat) -> _Known:
         # One that was never heard of is a new start: it counts at once.
         fresh = _FRESH_TO_RETURN - 1
         current = self._current
@@ -242,12 +242,12 @@
         return True
 
 
-def start_of(beat: Heartbeat) -> Start:
+def start_of(beat: Heartbeat) -> Incarnation:
     """Returns which start a heartbeat is of."""
-    return Start(beat.instance_id, beat.born_ms)
+    return Incarnation(beat.instance_id, beat.born_ms)
 
 
-def _is_earlier(incarnation: Start, other: Start) -> bool:
+def _is_earlier(incarnation: Incarnation, other: Incarnation) -> bool:
     """Whether a start says that it was born before another one."""
     if incarnation.born_ms is None or other.born_ms is None:
         return False
--- a/packages/burdockfront/src/burdockfront/self_reports.py
+++ b/packages/burdockfront/src/burdockfront/self_reports.py
@@ -47,7 +47,7 @@
         limit_per_s: Requests a second that it takes; None: as many as it can.
     """
 
-    incarnation: incarnations.Start
+    incarnation: incarnations.Incarnation
     leaving: bool = False
     limit_per_s: float | None = None
 
@@ -143,7 +143,7 @@
         raise _strange(parts)
     if limit_per_s is not None and not _is_limit(limit_per_s):
         raise _strange(parts)
-    incarnation = incarnations.Start(instance_id, born_ms)
+    incarnation = incarnations.Incarnation(instance_id, born_ms)
     return SelfReport(incarnation, leaving, limit_per_s)
 
 
--- a/tests/unit/test_backend_beliefs.py
+++ b/tests/unit/test_backend_beliefs.py
@@ -7,7 +7,7 @@
 from burdockfront import timeline
 from burdockfront_node import backend_beliefs
 
-_START = incarnations.Start("i-1")
+_START = incarnations.Incarnation("i-1")
 
 
 def _beliefs() -> tuple[backend_beliefs.BackendBeliefs, timeline.Recorder]:
@@ -47,7 +47,7 @@
     beliefs, _ = _beliefs()
     said = self_reports.Said(leaving=True, limit_per_s=6.5)
     beliefs.answered(said, _START, 0.0)
-    beliefs.in_service(incarnations.Start("i-2"))
+    beliefs.in_service(incarnations.Incarnation("i-2"))
     assert beliefs.report.is_plain
     beliefs.answered(said, _START, 0.0)
     assert beliefs.report.is_plain, "a late answer of the start before"
@@ -58,9 +58,9 @@
     beliefs, _ = _beliefs()
     said = self_reports.Said(leaving=True, limit_per_s=6.5)
     beliefs.answered(said, _START, 0.0)
-    beliefs.in_service(incarnations.Start("i-1", 17))
+    beliefs.in_service(incarnations.Incarnation("i-1", 17))
     beliefs.answered(said, _START, 0.0)
     assert beliefs.report.leaving
-    beliefs.in_service(incarnations.Start("i-1", 18))
+    beliefs.in_service(incarnations.Incarnation("i-1", 18))
     assert beliefs.report.is_plain
     assert beliefs.rate.per_s is None
--- a/tests/unit/test_limited_guards.py
+++ b/tests/unit/test_limited_guards.py
@@ -15,7 +15,9 @@
 from burdockfront_client import dispatcher as dispatcher_lib
 from tests import builders
 
-_REPORT = self_reports.SelfReport(incarnations.Start("i-1"), limit_per_s=2.0)
+_REPORT = self_reports.SelfReport(
+    incarnations.Incarnation("i-1"), limit_per_s=2.0
+)
 
 _Answers = Callable[[calls.Attempt], outcomes.Answer]
 
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -12,8 +12,8 @@
 from burdockfront_node import backend_beliefs
 from tests import builders
 
-_FIRST = incarnations.Start("i-1", 17)
-_NEXT = incarnations.Start("i-2", 18)
+_FIRST = incarnations.Incarnation("i-1", 17)
+_NEXT = incarnations.Incarnation("i-2", 18)
 _LIMITED = self_reports.SelfReport(_FIRST, limit_per_s=6.5)
 _LEAVING = self_reports.SelfReport(_FIRST, leaving=True)
 
