--- a/packages/burdockfront-node/src/burdockfront_node/backend.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend.py
@@ -60,7 +60,7 @@
     state: str
     load: float
     embedded: bool
-    incarnation: incarnations.Incarnation = incarnations.NAMELESS
+    incarnation: incarnations.Incarnation = incarnations.UNIDENTIFIED
     said: self_reports.Said | None = None
 
     @property
--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, recorder: timeline.Recorder):
-        self.report = self_reports.SelfReport(incarnations.NAMELESS)
+        self.report = self_reports.SelfReport(incarnations.UNIDENTIFIED)
         self.rate = rate_limits.RateLimit()
         self.is_plain = False
         self.on_leaving: Callable[[incarnations.Incarnation], None] = _ignore
@@ -126,7 +126,7 @@
         """
         if told is None and self.report.is_plain:
             return None
-        if self.report.incarnation == incarnations.NAMELESS:
+        if self.report.incarnation == incarnations.UNIDENTIFIED:
             # Remembered elsewhere, it would keep the next start out as well.
             return dataclasses.replace(self.report, leaving=False)
         return self.report
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -75,7 +75,7 @@
 
     def said_leaving(self, incarnation: incarnations_lib.Incarnation) -> None:
         """Takes that a start said on an answer that it leaves."""
-        if self._incarnations.leave_start(incarnation):
+        if self._incarnations.leave_incarnation(incarnation):
             self._announce()
 
     def _knows(self, service: str) -> bool:
@@ -107,7 +107,7 @@
                 state="draining" if current.leaving else "ready",
                 load=0.0,
                 embedded=False,
-                incarnation=incarnations_lib.start_of(current),
+                incarnation=incarnations_lib.incarnation_of(current),
             )
         )
 
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -155,7 +155,7 @@
             case surroundings.BackendWord.OTHER_INCARNATION:
                 # The address has a new owner, which ran nothing. Until its
                 # own heartbeat comes, nothing is known of it.
-                self._incarnations.not_there(instance_id)
+                self._incarnations.record_replaced(instance_id)
                 return outcomes.not_run(
                     outcomes.Reason.OTHER_INCARNATION, admission.RETRY_AFTER_S
                 )
--- a/packages/burdockfront/src/burdockfront/incarnations.py
+++ b/packages/burdockfront/src/burdockfront/incarnations.py
@@ -75,7 +75,7 @@
 
 
 # Of a backend server that does not tell one start from another.
-NAMELESS = Incarnation("")
+UNIDENTIFIED = Incarnation("")
 
 
 @dataclasses.dataclass(slots=True)
@@ -105,7 +105,7 @@
         Returns:
             Whether it is from the incarnation in service now.
         """
-        incarnation = start_of(beat)
+        incarnation = incarnation_of(beat)
         known = self._find(incarnation)
         if known is not None and beat.sequence <= known.sequence:
             return False
@@ -117,7 +117,7 @@
         if known.leaving:
             beat = dataclasses.replace(beat, leaving=True)
         current = self._current
-        same = current is not None and start_of(current) == incarnation
+        same = current is not None and incarnation_of(current) == incarnation
         if current is None or same:
             if known.leaving and not same:
                 return False
@@ -147,14 +147,14 @@
         latest.leaving = True
         return False
 
-    def leave_start(self, incarnation: Incarnation) -> bool:
+    def leave_incarnation(self, incarnation: Incarnation) -> bool:
         """Notes that a start is found to leave, whatever its heartbeats say.
 
         Returns:
             Whether it is the one in service.
         """
         current = self._current
-        if current is not None and incarnation.may_be(start_of(current)):
+        if current is not None and incarnation.may_be(incarnation_of(current)):
             self._leave_current(current)
             return True
         known = self._find(incarnation)
@@ -165,17 +165,17 @@
         return False
 
     def _leave_current(self, current: Heartbeat) -> None:
-        known = self._find(start_of(current))
+        known = self._find(incarnation_of(current))
         if known is not None:
             known.leaving = True
         self._current = dataclasses.replace(current, leaving=True)
 
-    def not_there(self, instance_id: str) -> None:
+    def record_replaced(self, instance_id: str) -> None:
         """Notes that another incarnation answered in place of this one."""
         current = self._current
         if current is not None and current.instance_id == instance_id:
             self._current = None
-            known = self._find(start_of(current))
+            known = self._find(incarnation_of(current))
             if known is not None:
                 known.fresh = 0
 
@@ -194,7 +194,7 @@
             return None
         self._known[incarnation] = known
         current = self._current
-        if current is not None and start_of(current) == unborn:
+        if current is not None and incarnation_of(current) == unborn:
             self._current = dataclasses.replace(
                 current, born_ms=incarnation.born_ms
             )
@@ -210,7 +210,9 @@
         # One that was never heard of is a new start: it counts at once.
         fresh = _FRESH_TO_RETURN - 1
         current = self._current
-        if current is not None and _is_earlier(incarnation, start_of(current)):
+        if current is not None and _is_earlier(
+            incarnation, incarnation_of(current)
+        ):
             fresh = 0
         known = _Known(beat.sequence - 1, fresh=fresh)
         self._known[incarnation] = known
@@ -235,14 +237,14 @@
         if known.leaving or known.fresh < _FRESH_TO_RETURN:
             return False
         assert self._current is not None
-        replaced = self._known.get(start_of(self._current))
+        replaced = self._known.get(incarnation_of(self._current))
         if replaced is not None:
             replaced.fresh = 0
         self._current = beat
         return True
 
 
-def start_of(beat: Heartbeat) -> Incarnation:
+def incarnation_of(beat: Heartbeat) -> Incarnation:
     """Returns which start a heartbeat is of."""
     return Incarnation(beat.instance_id, beat.born_ms)
 
--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -66,7 +66,7 @@
 def test_one_that_another_answered_for_is_out_until_it_speaks_again():
     known = incarnations.IncarnationTracker()
     known.hear(builders.a_beat("i-1", sequence=1))
-    known.not_there("i-1")
+    known.record_replaced("i-1")
     assert known.current is None
     assert known.hear(builders.a_beat("i-1", sequence=2))
 
