--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -61,7 +61,7 @@
             self._record(
                 "backend.unknown-service", beat.instance_id, beat.sequence
             )
-        elif self._incarnations.hear(beat):
+        elif self._incarnations.observe(beat):
             self._announce()
         else:
             self._record("backend.ignored", beat.instance_id, beat.sequence)
--- a/packages/burdockfront/src/burdockfront/incarnations.py
+++ b/packages/burdockfront/src/burdockfront/incarnations.py
@@ -99,7 +99,7 @@
         """The one in service, or None."""
         return self._current
 
-    def hear(self, beat: Heartbeat) -> bool:
+    def observe(self, beat: Heartbeat) -> bool:
         """Takes a heartbeat.
 
         Returns:
--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -12,17 +12,17 @@
     # The server said that it leaves and was acknowledged; a heartbeat that was
     # held up on the way says "ready". Work handed over now would be lost.
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=1))
-    known.hear(builders.a_beat("i-1", sequence=3, leaving=True))
-    assert not known.hear(builders.a_beat("i-1", sequence=2))
-    assert known.hear(builders.a_beat("i-1", sequence=4))
+    known.observe(builders.a_beat("i-1", sequence=1))
+    known.observe(builders.a_beat("i-1", sequence=3, leaving=True))
+    assert not known.observe(builders.a_beat("i-1", sequence=2))
+    assert known.observe(builders.a_beat("i-1", sequence=4))
     assert known.current.leaving
 
 
 def test_new_start_takes_over_at_once():
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=9))
-    assert known.hear(builders.a_beat("i-2", sequence=1))
+    known.observe(builders.a_beat("i-1", sequence=9))
+    assert known.observe(builders.a_beat("i-2", sequence=1))
     assert known.current.instance_id == "i-2"
 
 
@@ -30,9 +30,9 @@
     # A cut held a heartbeat back. Its sender crashed, another incarnation
     # registered at the same address, then the cut healed.
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=5))
-    known.hear(builders.a_beat("i-2", sequence=1))
-    assert not known.hear(builders.a_beat("i-1", sequence=6))
+    known.observe(builders.a_beat("i-1", sequence=5))
+    known.observe(builders.a_beat("i-2", sequence=1))
+    assert not known.observe(builders.a_beat("i-1", sequence=6))
     assert known.current.instance_id == "i-2"
 
 
@@ -40,16 +40,16 @@
     # After a restart of the node the first message was a late one of an
     # incarnation that is gone; the one that lives must not be shut out.
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-2", sequence=4))
-    known.hear(builders.a_beat("i-1", sequence=9))
-    known.hear(builders.a_beat("i-2", sequence=5))
-    assert known.hear(builders.a_beat("i-2", sequence=6))
+    known.observe(builders.a_beat("i-2", sequence=4))
+    known.observe(builders.a_beat("i-1", sequence=9))
+    known.observe(builders.a_beat("i-2", sequence=5))
+    assert known.observe(builders.a_beat("i-2", sequence=6))
     assert known.current.instance_id == "i-2"
 
 
 def test_end_without_a_word_before_counts_as_leaving():
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=1))
+    known.observe(builders.a_beat("i-1", sequence=1))
     assert known.leave("i-1")
     assert known.current.leaving
 
@@ -59,43 +59,43 @@
     # a heartbeat from before it second.
     known = incarnations.IncarnationTracker()
     assert not known.leave("i-1")
-    assert not known.hear(builders.a_beat("i-1", sequence=7))
+    assert not known.observe(builders.a_beat("i-1", sequence=7))
     assert known.current is None
 
 
 def test_one_that_another_answered_for_is_out_until_it_speaks_again():
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=1))
+    known.observe(builders.a_beat("i-1", sequence=1))
     known.record_replaced("i-1")
     assert known.current is None
-    assert known.hear(builders.a_beat("i-1", sequence=2))
+    assert known.observe(builders.a_beat("i-1", sequence=2))
 
 
 def test_restart_under_the_same_id_counts_at_once():
     # A server crashes and starts again under its id. Its numbers start anew;
     # taken for late messages, none of them would ever be believed.
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=40, born_ms=1000))
-    assert known.hear(builders.a_beat("i-1", sequence=1, born_ms=9000))
+    known.observe(builders.a_beat("i-1", sequence=40, born_ms=1000))
+    assert known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
     assert known.current.born_ms == 9000
-    assert known.hear(builders.a_beat("i-1", sequence=2, born_ms=9000))
+    assert known.observe(builders.a_beat("i-1", sequence=2, born_ms=9000))
 
 
 def test_restart_under_the_id_of_one_that_left_takes_work():
     # The leave was that of the start before, and holds for it alone.
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=4, born_ms=1000))
+    known.observe(builders.a_beat("i-1", sequence=4, born_ms=1000))
     known.leave("i-1")
-    assert known.hear(builders.a_beat("i-1", sequence=1, born_ms=9000))
+    assert known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
     assert not known.current.leaving
-    assert not known.hear(builders.a_beat("i-1", sequence=5, born_ms=1000))
+    assert not known.observe(builders.a_beat("i-1", sequence=5, born_ms=1000))
     assert known.current.born_ms == 9000
 
 
 def test_late_message_of_an_earlier_start_changes_nothing():
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=1, born_ms=9000))
-    assert not known.hear(builders.a_beat("i-1", sequence=40, born_ms=1000))
+    known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
+    assert not known.observe(builders.a_beat("i-1", sequence=40, born_ms=1000))
     assert known.current.born_ms == 9000
 
 
@@ -103,8 +103,8 @@
     # Its only heartbeat was held up until another server, under another id,
     # was at work.
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-2", sequence=1, born_ms=9000))
-    assert not known.hear(builders.a_beat("i-1", sequence=1, born_ms=1000))
+    known.observe(builders.a_beat("i-2", sequence=1, born_ms=9000))
+    assert not known.observe(builders.a_beat("i-1", sequence=1, born_ms=1000))
     assert known.current.instance_id == "i-2"
 
 
@@ -112,24 +112,24 @@
     # Born "earlier" than the start that it follows, by its own clock. It must
     # not be shut out for ever.
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=7, born_ms=9000))
-    assert not known.hear(builders.a_beat("i-1", sequence=1, born_ms=4000))
-    assert known.hear(builders.a_beat("i-1", sequence=2, born_ms=4000))
+    known.observe(builders.a_beat("i-1", sequence=7, born_ms=9000))
+    assert not known.observe(builders.a_beat("i-1", sequence=1, born_ms=4000))
+    assert known.observe(builders.a_beat("i-1", sequence=2, born_ms=4000))
     assert known.current.born_ms == 4000
 
 
 def test_what_health_told_is_of_the_first_start_that_tells_its_birth():
     known = incarnations.IncarnationTracker()
-    known.hear(builders.a_beat("i-1", sequence=-1))
-    assert known.hear(builders.a_beat("i-1", sequence=5, born_ms=1000))
-    assert known.hear(builders.a_beat("i-1", sequence=1, born_ms=9000))
+    known.observe(builders.a_beat("i-1", sequence=-1))
+    assert known.observe(builders.a_beat("i-1", sequence=5, born_ms=1000))
+    assert known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
 
 
 def test_end_that_overtook_the_first_heartbeat_holds_for_that_start_alone():
     known = incarnations.IncarnationTracker()
     known.leave("i-1")
-    assert not known.hear(builders.a_beat("i-1", sequence=7, born_ms=1000))
-    assert known.hear(builders.a_beat("i-1", sequence=1, born_ms=9000))
+    assert not known.observe(builders.a_beat("i-1", sequence=7, born_ms=1000))
+    assert known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
 
 
 class StartsAndLateMessages(stateful.RuleBasedStateMachine):
@@ -177,7 +177,7 @@
             assert (current.instance_id, current.born_ms) == self._name()
 
     def _tell(self, beat: incarnations.Heartbeat) -> None:
-        self.known.hear(beat)
+        self.known.observe(beat)
         owed = beat.instance_id in self.ends_owed
         if beat.leaving or owed:
             self.left.add((beat.instance_id, beat.born_ms))
@@ -254,7 +254,7 @@
     )
     def hear(self, name: str, sequence: int, leaving: bool) -> None:
         fresh = sequence > self.sequences.get(name, 0)
-        self.known.hear(builders.a_beat(name, sequence, leaving))
+        self.known.observe(builders.a_beat(name, sequence, leaving))
         if fresh:
             self.sequences[name] = sequence
             if leaving:
