--- a/packages/burdockfront/src/burdockfront/incarnations.py
+++ b/packages/burdockfront/src/burdockfront/incarnations.py
@@ -64,7 +64,7 @@
     instance_id: str
     born_ms: int | None = None
 
-    def may_be(self, other: "Start") -> bool:
+    def may_be(self, other: "Incarnation") -> bool:
         """Whether both may name the same start, as far as they tell."""
         if self.instance_id != other.instance_id:
             return False
