--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -70,7 +70,7 @@
 
         Args:
             said: What it says.
-            start: Which start gave it.
+            incarnation: Which start gave it.
             handed_s: When its request was handed over.
         """
         if not incarnation.may_be(self.report.incarnation):
