--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -92,7 +92,7 @@
         self.membership = membership_lib.Membership(
             me, membership_lib.Timing(), rng
         )
-        self.book = routes_lib.RouteBook(rng)
+        self.book = routes_lib.RouteResolver(rng)
         self.ready = asyncio.Event()
         self._due = False
         link = _PeerLink(fleet, self.name)
@@ -178,7 +178,7 @@
     async def _announce(self) -> None:
         """A backend server is heard of some time after the node's start."""
         await asyncio.sleep(random.Random(self.name).uniform(0.1, 1.5))
-        self.exchange.update_me(service=self._service, slots=12)
+        self.exchange.update_local_member(service=self._service, slots=12)
 
     def _store_returned(self) -> None:
         self.directory.store_returned()
--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -219,12 +219,12 @@
                 "ready",
                 0.0,
                 False,
-                incarnations.Start(f"i-{place.node_id}"),
+                incarnations.Incarnation(f"i-{place.node_id}"),
             )
         )
         self.dispatcher.sender.local_guard = self._ask_own_guard
         self.dispatcher.sender.transport = self._ask_guard
-        book = routes_lib.RouteBook(self._rng)
+        book = routes_lib.RouteResolver(self._rng)
         book.accept(self._table)
         routed = base.RoutedTools(
             book,
--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
@@ -32,46 +32,48 @@
     """
 
     def __init__(self, recorder: timeline.Recorder):
-        self.report = self_reports.SelfReport(incarnations.NAMELESS)
+        self.report = self_reports.SelfReport(incarnations.UNIDENTIFIED)
         self.rate = rate_limits.RateLimit()
         self.is_plain = False
-        self.on_leaving: Callable[[incarnations.Start], None] = _ignore
+        self.on_leaving: Callable[[incarnations.Incarnation], None] = _ignore
         self._recorder = recorder
         self._unreadable = ""
         # Whether any answer of this start has come to this process.
         self._answered = False
         # What was told of starts that are not in service (yet).
         self._told: collections.OrderedDict[
-            incarnations.Start, self_reports.SelfReport
+            incarnations.Incarnation, self_reports.SelfReport
         ] = collections.OrderedDict()
 
-    def in_service(self, start: incarnations.Start) -> None:
+    def in_service(self, incarnation: incarnations.Incarnation) -> None:
         """Notes which start is in service; another one has said nothing yet."""
-        if start.may_be(self.report.start):
-            if start.born_ms is not None:
+        if incarnation.may_be(self.report.incarnation):
+            if incarnation.born_ms is not None:
                 # Known now, it tells the next start of this id from this one.
-                self.report = dataclasses.replace(self.report, start=start)
+                self.report = dataclasses.replace(
+                    self.report, incarnation=incarnation
+                )
             return
         self._answered = False
         self.rate.reset()
-        self._believe(self_reports.SelfReport(start), "start")
+        self._believe(self_reports.SelfReport(incarnation), "start")
         for report in list(self._told.values()):
             self.told(report)
 
     def answered(
         self,
         notice: self_reports.BackendNotice,
-        start: incarnations.Start,
+        incarnation: incarnations.Incarnation,
         handed_s: float,
     ) -> None:
         """Learns from an answer that came just now.
 
         Args:
             notice: What it says.
-            start: Which start gave it.
+            incarnation: Which start gave it.
             handed_s: When its request was handed over.
         """
-        if not start.may_be(self.report.start):
+        if not incarnation.may_be(self.report.incarnation):
             return
         self._answered = True
         if notice.unreadable:
@@ -90,12 +92,12 @@
 
         What answers said to this process is newer.
         """
-        if not report.start.may_be(self.report.start):
-            self._told[report.start] = report
+        if not report.incarnation.may_be(self.report.incarnation):
+            self._told[report.incarnation] = report
             if len(self._told) > _MOST_TOLD:
                 self._told.popitem(last=False)
             if report.leaving:
-                self.on_leaving(report.start)
+                self.on_leaving(report.incarnation)
             return
         believed = self.report
         if report.leaving:
@@ -124,7 +126,7 @@
         """
         if told is None and self.report.is_plain:
             return None
-        if self.report.start == incarnations.NAMELESS:
+        if self.report.incarnation == incarnations.UNIDENTIFIED:
             # Remembered elsewhere, it would keep the next start out as well.
             return dataclasses.replace(self.report, leaving=False)
         return self.report
@@ -137,7 +139,7 @@
             self._recorder.record(
                 time.time(),
                 "backend.limit",
-                instance=report.start.instance_id,
+                instance=report.incarnation.instance_id,
                 before=before.limit_per_s,
                 limit_per_s=report.limit_per_s,
                 source=source,
@@ -146,10 +148,10 @@
             self._recorder.record(
                 time.time(),
                 "backend.says-it-leaves",
-                instance=report.start.instance_id,
+                instance=report.incarnation.instance_id,
                 source=source,
             )
-            self.on_leaving(report.start)
+            self.on_leaving(report.incarnation)
 
     def _note_unreadable(self, value: str) -> None:
         if value == self._unreadable:
@@ -158,11 +160,11 @@
         self._recorder.record(
             time.time(),
             "backend.limit-unreadable",
-            instance=self.report.start.instance_id,
+            instance=self.report.incarnation.instance_id,
             value=value[:40],
             limit_per_s=self.report.limit_per_s,
         )
 
 
-def _ignore(start: incarnations.Start) -> None:
+def _ignore(incarnation: incarnations.Incarnation) -> None:
     """Stands in until the guard listens."""
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -3,7 +3,7 @@
 * Each period one member is probed. Probe and answer carry the digests of both
   tables and recent changes. Unequal digests lead to a repair (`repairs`).
 * A change is pushed at once to a few peers, who push it on: to some of the own
-  data centre, and now and then to one of another (`Membership.far_share`).
+  data centre, and now and then to one of another (`Membership.far_fanout`).
 * Crashes of backend servers go with the messages as well (`crash_news`).
 * Messages carry the version of the routes in force, and how long ago it was
   known to be the newest. Whoever hears of a newer one fetches the table from
@@ -11,7 +11,7 @@
 
 The cost per node does not depend on the number of nodes; what grows with it
 is only the number of changes, and those of members are paced (see
-`burdockfront.exchange_pace`).
+`burdockfront.gossip_budget`).
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 
 from burdockfront import configuration as configuration_lib
 from burdockfront import errors
-from burdockfront import exchange_pace
 from burdockfront import freshness
+from burdockfront import gossip_budget
 from burdockfront import members as members_lib
 from burdockfront import membership as membership_lib
 from burdockfront import tables
@@ -114,9 +114,13 @@
         self._recorder = recorder
         self._on_members = on_members
         self._rng = rng
-        self._member_rumors = tables.Rumors(settings.fanout + _ON_PROBES)
+        self._member_rumors = tables.BroadcastQueue(
+            settings.fanout + _ON_PROBES
+        )
         # Few, and in force within seconds: told three times as often.
-        self._policy_rumors = tables.Rumors(settings.fanout * settings.fanout)
+        self._policy_rumors = tables.BroadcastQueue(
+            settings.fanout * settings.fanout
+        )
         self._news = asyncio.Event()
         self.crash_news = crash_news_lib.CrashNews(
             membership,
@@ -130,7 +134,7 @@
             membership, self._push_routes, settings.fanout, recorder, rng
         )
         rate = settings.members_bytes_per_s / 2
-        self._push_budget = exchange_pace.ByteBudget(rate, _BURST_BYTES)
+        self._push_budget = gossip_budget.ByteBudget(rate, _BURST_BYTES)
         self.repairs = repairs_lib.Repairs(
             self.link,
             membership,
@@ -138,16 +142,20 @@
             self.crash_news.book,
             ready,
             self._take,
-            exchange_pace.ByteBudget(rate, _BURST_BYTES),
+            gossip_budget.ByteBudget(rate, _BURST_BYTES),
             routes,
         )
-        self._joins = joins.Joins(self.repairs, membership.me.address, rng)
+        self._joins = joins.Joins(
+            self.repairs, membership.local_member.address, rng
+        )
 
     # ---- local changes -------------------------------------------------
 
-    def update_me(self, **changes: Any) -> None:
+    def update_local_member(self, **changes: Any) -> None:
         """Changes this node's own entry and passes it on."""
-        change = self.membership.update_me(time.monotonic(), **changes)
+        change = self.membership.update_local_member(
+            time.monotonic(), **changes
+        )
         self._note_member(change)
 
     def leave(self) -> None:
@@ -168,7 +176,7 @@
             document=entry.key,
             revision=entry.version[0],
             change_id=str(entry.value.get("change_id", "")),
-            why=rejected.why if rejected else "",
+            why=rejected.reason if rejected else "",
         )
         return True
 
@@ -215,7 +223,7 @@
         """
         peers = self._listeners()
         message = self._message(riders=0, peers=len(peers))
-        message["m"] = [self.membership.me.to_entry().to_json()]
+        message["m"] = [self.membership.local_member.to_entry().to_json()]
         await self._push(message, peers)
         await self.link.close()
 
@@ -252,7 +260,7 @@
             # The second try uses a new connection: the first may have met
             # one that went silent, which says nothing about the member.
             if await self._probe_once(member.address):
-                self.membership.answered(member)
+                self.membership.record_probe_answer(member)
                 return
             if member.status is members_lib.Status.ALIVE:
                 self._on_unanswered()
@@ -281,7 +289,7 @@
         return True
 
     async def _reached_by_others(self, member: members_lib.Member) -> bool:
-        helpers = self.membership.helpers(member.node_id, _HELPERS)
+        helpers = self.membership.indirect_probers(member.node_id, _HELPERS)
         asked = [
             self.link.ask(
                 helper.address,
@@ -297,7 +305,7 @@
     async def _push_round(self) -> None:
         now_s = time.monotonic()
         peers = self._listeners()
-        riders = _PUSHED_AT_ONCE if self._push_budget.open(now_s) else 0
+        riders = _PUSHED_AT_ONCE if self._push_budget.allows(now_s) else 0
         message = self._message(riders, len(peers))
         if not (message["m"] or message["c"] or message["x"]):
             return
@@ -307,7 +315,7 @@
             # Other messages may have passed meanwhile; to count them too only
             # makes the next push of members come later.
             spent_bytes = self.link.sent_bytes - before_bytes
-            self._push_budget.spend(spent_bytes, time.monotonic())
+            self._push_budget.consume(spent_bytes, time.monotonic())
 
     async def _push_crash(
         self, entry: tables.Entry, peers: list[members_lib.Member]
@@ -322,7 +330,7 @@
         near = self.membership.near_peers(fanout)
         if not near:
             return self.membership.far_peers(fanout)
-        share = min(float(fanout), self.membership.far_share())
+        share = min(float(fanout), self.membership.far_fanout())
         return near + self.membership.far_peers(int(share + self._rng.random()))
 
     async def _push(
@@ -358,7 +366,7 @@
             "x": self.crash_news.riders(riders, peers),
             "t": self._recorder.clock.tick(time.time()),
             **repairs_lib.claim_to_json(self.routes()),
-            "a": self.membership.me.address,
+            "a": self.membership.local_member.address,
         }
 
     def _take(self, message: dict[str, Any], sender: str = "") -> None:
@@ -385,7 +393,7 @@
     def _note_member(self, change: membership_lib.Change) -> None:
         member = change.member
         self.repairs.changed()
-        mine = member.node_id == self.membership.me.node_id
+        mine = member.node_id == self.membership.local_member.node_id
         self._member_rumors.add(member.node_id, first=mine)
         self._news.set()
         self._on_members()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -54,9 +54,9 @@
         data_center: str,
         address: str,
         dialect: surroundings.Dialect,
-        book: routes_lib.RouteBook,
+        book: routes_lib.RouteResolver,
         route_watch: route_watch_lib.RouteWatch,
-        incarnations: incarnations_lib.Incarnations,
+        incarnations: incarnations_lib.IncarnationTracker,
         heartbeats: heartbeats_lib.Heartbeats,
         beliefs: backend_beliefs.BackendBeliefs,
     ):
@@ -95,8 +95,8 @@
         )
         if health.notice is not self_reports.NO_NOTICE:
             # That it says nothing here does not show that it names no limit.
-            start = incarnations_lib.Start(health.instance_id)
-            self._beliefs.answered(health.notice, start, asked_s)
+            incarnation = incarnations_lib.Incarnation(health.instance_id)
+            self._beliefs.answered(health.notice, incarnation, asked_s)
 
     async def _ask(self, path: str) -> surroundings.Health | None:
         request = connection_lib.encode_request(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -41,11 +41,11 @@
     def __init__(
         self,
         address: str,
-        incarnations: incarnations_lib.Incarnations,
+        incarnations: incarnations_lib.IncarnationTracker,
         backends: backends_lib.Backends,
         recorder: timeline.Recorder,
         service: str,
-        book: routes_lib.RouteBook,
+        book: routes_lib.RouteResolver,
     ):
         self._address = address
         self._incarnations = incarnations
@@ -61,7 +61,7 @@
             self._record(
                 "backend.unknown-service", beat.instance_id, beat.sequence
             )
-        elif self._incarnations.hear(beat):
+        elif self._incarnations.observe(beat):
             self._announce()
         else:
             self._record("backend.ignored", beat.instance_id, beat.sequence)
@@ -73,14 +73,14 @@
         else:
             self._record("backend.left", instance_id, -1)
 
-    def said_leaving(self, start: incarnations_lib.Start) -> None:
+    def said_leaving(self, incarnation: incarnations_lib.Incarnation) -> None:
         """Takes that a start said on an answer that it leaves."""
-        if self._incarnations.leave_start(start):
+        if self._incarnations.leave_incarnation(incarnation):
             self._announce()
 
     def _knows(self, service: str) -> bool:
         """Whether a service is this VM's own, or one that operators named."""
-        return service == self._service or self._book.names(service)
+        return service == self._service or self._book.knows_service(service)
 
     def _announce(self) -> None:
         current = self._incarnations.current
@@ -107,7 +107,7 @@
                 state="draining" if current.leaving else "ready",
                 load=0.0,
                 embedded=False,
-                start=incarnations_lib.start_of(current),
+                incarnation=incarnations_lib.incarnation_of(current),
             )
         )
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
@@ -2,7 +2,7 @@
 
 Both send a digest per bucket and the entries of buckets that differ. Documents
 and crashes are repaired at once; members in the pace of
-`burdockfront.exchange_pace`.
+`burdockfront.gossip_budget`.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 from burdockfront import configuration as configuration_lib
 from burdockfront import crashes as crashes_lib
 from burdockfront import errors
-from burdockfront import exchange_pace
 from burdockfront import freshness
+from burdockfront import gossip_budget
 from burdockfront import membership as membership_lib
 from burdockfront_node.controllers import peer_link
 
@@ -53,7 +53,7 @@
         crashes: crashes_lib.CrashBook,
         ready: asyncio.Event,
         take: Callable[[dict[str, Any], str], None],
-        budget: exchange_pace.ByteBudget,
+        budget: gossip_budget.ByteBudget,
         routes: Callable[[], freshness.Claim],
     ):
         self._routes = routes
@@ -65,13 +65,13 @@
         self._ready = ready
         self._take = take
         self._budget = budget
-        self._pace = exchange_pace.RepairPace(
+        self._pace = gossip_budget.SyncPacer(
             _QUIET_S, _LONGEST_UNEQUAL_S, time.monotonic()
         )
 
     def changed(self) -> None:
         """Notes that our members changed."""
-        self._pace.changed(time.monotonic())
+        self._pace.record_change(time.monotonic())
 
     async def after_probe(self, address: str, answer: dict[str, Any]) -> None:
         """Repairs with a peer whose answer to a probe shows other digests.
@@ -111,7 +111,7 @@
             # Other messages may have passed meanwhile; to count them too
             # only makes the next repair come later.
             spent_bytes = self._link.moved_bytes - before_bytes
-            self._budget.spend(spent_bytes, time.monotonic())
+            self._budget.consume(spent_bytes, time.monotonic())
         return ready
 
     def on_sync(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -125,10 +125,10 @@
 
     def _members_due(self, their_digest: str) -> bool:
         if their_digest == self._membership.table.digest():
-            self._pace.equal()
+            self._pace.record_equal()
             return False
         now_s = time.monotonic()
-        return self._budget.open(now_s) and self._pace.due(now_s)
+        return self._budget.allows(now_s) and self._pace.sync_due(now_s)
 
     def _question(self, members: bool) -> dict[str, Any]:
         """Returns our digests by bucket."""
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_news.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_news.py
@@ -126,7 +126,7 @@
 
     def _following(self) -> list[members_lib.Member]:
         """Returns the own data centre, from the one whose name comes next."""
-        mine = self._membership.me.node_id
+        mine = self._membership.local_member.node_id
         near = self._membership.near_peers(len(self._membership.members()))
         return sorted(near, key=lambda m: (m.node_id <= mine, m.node_id))
 
@@ -136,7 +136,7 @@
         names = sorted({member.data_center for member in far})
         if first:
             return names
-        share = self._membership.far_share() + self._rng.random()
+        share = self._membership.far_fanout() + self._rng.random()
         return self._rng.sample(names, min(len(names), int(share)))
 
     def _members_of(self, data_center: str) -> list[members_lib.Member]:
--- a/packages/burdockfront-node/src/burdockfront_node/operators.py
+++ b/packages/burdockfront-node/src/burdockfront_node/operators.py
@@ -19,7 +19,7 @@
     async def status(self, message: dict[str, Any]) -> dict[str, Any]:
         """Returns what this node knows and does."""
         parts = self._parts
-        me = parts.exchange.membership.me
+        me = parts.exchange.membership.local_member
         configuration = parts.exchange.configuration
         return {
             "node": me.node_id,
@@ -44,7 +44,7 @@
                 for name, applied in configuration.applied().items()
             },
             "rejected": {
-                name: {"revision": r.revision, "why": r.why}
+                name: {"revision": r.revision, "why": r.reason}
                 for name, r in configuration.rejected().items()
             },
             "counters": parts.metrics.counters(),
--- a/packages/burdockfront/src/burdockfront/incarnations.py
+++ b/packages/burdockfront/src/burdockfront/incarnations.py
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
+class Incarnation:
     """Names an incarnation.
 
     Attributes:
@@ -64,7 +64,7 @@
     instance_id: str
     born_ms: int | None = None
 
-    def may_be(self, other: "Start") -> bool:
+    def may_be(self, other: "Incarnation") -> bool:
         """Whether both may name the same start, as far as they tell."""
         if self.instance_id != other.instance_id:
             return False
@@ -75,7 +75,7 @@
 
 
 # Of a backend server that does not tell one start from another.
-NAMELESS = Start("")
+UNIDENTIFIED = Incarnation("")
 
 
 @dataclasses.dataclass(slots=True)
@@ -85,11 +85,11 @@
     fresh: int = 0
 
 
-class Incarnations:
+class IncarnationTracker:
     """The incarnations that one node has heard of."""
 
     def __init__(self) -> None:
-        self._known: collections.OrderedDict[Start, _Known] = (
+        self._known: collections.OrderedDict[Incarnation, _Known] = (
             collections.OrderedDict()
         )
         self._current: Heartbeat | None = None
@@ -99,25 +99,25 @@
         """The one in service, or None."""
         return self._current
 
-    def hear(self, beat: Heartbeat) -> bool:
+    def observe(self, beat: Heartbeat) -> bool:
         """Takes a heartbeat.
 
         Returns:
             Whether it is from the incarnation in service now.
         """
-        start = start_of(beat)
-        known = self._find(start)
+        incarnation = incarnation_of(beat)
+        known = self._find(incarnation)
         if known is not None and beat.sequence <= known.sequence:
             return False
         if known is None:
-            known = self._remember(start, beat)
+            known = self._remember(incarnation, beat)
         known.sequence = beat.sequence
         known.leaving = known.leaving or beat.leaving
         known.fresh += 1
         if known.leaving:
             beat = dataclasses.replace(beat, leaving=True)
         current = self._current
-        same = current is not None and start_of(current) == start
+        same = current is not None and incarnation_of(current) == incarnation
         if current is None or same:
             if known.leaving and not same:
                 return False
@@ -142,76 +142,80 @@
         latest = self._latest(instance_id)
         if latest is None:
             # The end overtook the first heartbeat, whose start it is about.
-            latest = self._known[Start(instance_id, None)] = _Known(0)
+            latest = self._known[Incarnation(instance_id, None)] = _Known(0)
             self._trim()
         latest.leaving = True
         return False
 
-    def leave_start(self, start: Start) -> bool:
+    def leave_incarnation(self, incarnation: Incarnation) -> bool:
         """Notes that a start is found to leave, whatever its heartbeats say.
 
         Returns:
             Whether it is the one in service.
         """
         current = self._current
-        if current is not None and start.may_be(start_of(current)):
+        if current is not None and incarnation.may_be(incarnation_of(current)):
             self._leave_current(current)
             return True
-        known = self._find(start)
+        known = self._find(incarnation)
         if known is None:
-            known = self._known[start] = _Known(0)
+            known = self._known[incarnation] = _Known(0)
             self._trim()
         known.leaving = True
         return False
 
     def _leave_current(self, current: Heartbeat) -> None:
-        known = self._find(start_of(current))
+        known = self._find(incarnation_of(current))
         if known is not None:
             known.leaving = True
         self._current = dataclasses.replace(current, leaving=True)
 
-    def not_there(self, instance_id: str) -> None:
+    def record_replaced(self, instance_id: str) -> None:
         """Notes that another incarnation answered in place of this one."""
         current = self._current
         if current is not None and current.instance_id == instance_id:
             self._current = None
-            known = self._find(start_of(current))
+            known = self._find(incarnation_of(current))
             if known is not None:
                 known.fresh = 0
 
-    def _find(self, start: Start) -> _Known | None:
+    def _find(self, incarnation: Incarnation) -> _Known | None:
         """Returns what is known of a start.
 
         What was heard without a time of birth, of a health check or an end,
         is taken for what is known of the first start that tells one.
         """
-        known = self._known.get(start)
-        if known is not None or start.born_ms is None:
+        known = self._known.get(incarnation)
+        if known is not None or incarnation.born_ms is None:
             return known
-        unborn = Start(start.instance_id, None)
+        unborn = Incarnation(incarnation.instance_id, None)
         known = self._known.pop(unborn, None)
         if known is None:
             return None
-        self._known[start] = known
+        self._known[incarnation] = known
         current = self._current
-        if current is not None and start_of(current) == unborn:
-            self._current = dataclasses.replace(current, born_ms=start.born_ms)
+        if current is not None and incarnation_of(current) == unborn:
+            self._current = dataclasses.replace(
+                current, born_ms=incarnation.born_ms
+            )
         return known
 
     def _latest(self, instance_id: str) -> _Known | None:
-        for start in reversed(self._known):
-            if start.instance_id == instance_id:
-                return self._known[start]
+        for incarnation in reversed(self._known):
+            if incarnation.instance_id == instance_id:
+                return self._known[incarnation]
         return None
 
-    def _remember(self, start: Start, beat: Heartbeat) -> _Known:
+    def _remember(self, incarnation: Incarnation, beat: Heartbeat) -> _Known:
         # One that was never heard of is a new start: it counts at once.
         fresh = _FRESH_TO_RETURN - 1
         current = self._current
-        if current is not None and _is_earlier(start, start_of(current)):
+        if current is not None and _is_earlier(
+            incarnation, incarnation_of(current)
+        ):
             fresh = 0
         known = _Known(beat.sequence - 1, fresh=fresh)
-        self._known[start] = known
+        self._known[incarnation] = known
         self._trim()
         return known
 
@@ -233,20 +237,20 @@
         if known.leaving or known.fresh < _FRESH_TO_RETURN:
             return False
         assert self._current is not None
-        replaced = self._known.get(start_of(self._current))
+        replaced = self._known.get(incarnation_of(self._current))
         if replaced is not None:
             replaced.fresh = 0
         self._current = beat
         return True
 
 
-def start_of(beat: Heartbeat) -> Start:
+def incarnation_of(beat: Heartbeat) -> Incarnation:
     """Returns which start a heartbeat is of."""
-    return Start(beat.instance_id, beat.born_ms)
+    return Incarnation(beat.instance_id, beat.born_ms)
 
 
-def _is_earlier(start: Start, other: Start) -> bool:
+def _is_earlier(incarnation: Incarnation, other: Incarnation) -> bool:
     """Whether a start says that it was born before another one."""
-    if start.born_ms is None or other.born_ms is None:
+    if incarnation.born_ms is None or other.born_ms is None:
         return False
-    return start.born_ms < other.born_ms
+    return incarnation.born_ms < other.born_ms
--- a/packages/burdockfront/src/burdockfront/membership.py
+++ b/packages/burdockfront/src/burdockfront/membership.py
@@ -55,30 +55,33 @@
     """The members as one node knows them.
 
     Args:
-        me: The node's own entry, alive.
+        local_member: The node's own entry, alive.
         timing: Pace of failure detection.
         rng: Source of randomness.
     """
 
     def __init__(
-        self, me: members_lib.Member, timing: Timing, rng: random.Random
+        self,
+        local_member: members_lib.Member,
+        timing: Timing,
+        rng: random.Random,
     ):
-        self._me = me
+        self._local = local_member
         self._timing = timing
         self._rng = rng
         self._table = tables.Table()
         self._members: dict[str, members_lib.Member] = {}
         self._since_s: dict[str, float] = {}
         self._probe_order = probe_order.ProbeOrder(
-            me.data_center, probe_order.ProbeRates(), rng
+            local_member.data_center, probe_order.ProbeRates(), rng
         )
         self._refuted = 0
-        self._put(me, 0.0)
+        self._put(local_member, 0.0)
 
     @property
-    def me(self) -> members_lib.Member:
+    def local_member(self) -> members_lib.Member:
         """The node's own entry."""
-        return self._me
+        return self._local
 
     @property
     def table(self) -> tables.Table:
@@ -107,12 +110,12 @@
             in (members_lib.Status.ALIVE, members_lib.Status.SUSPECT)
         ]
 
-    def update_me(self, now_s: float, **changes: Any) -> Change:
+    def update_local_member(self, now_s: float, **changes: Any) -> Change:
         """Changes this node's own entry under a new revision."""
-        self._me = dataclasses.replace(
-            self._me, revision=self._me.revision + 1, **changes
+        self._local = dataclasses.replace(
+            self._local, revision=self._local.revision + 1, **changes
         )
-        return self._put(self._me, now_s)
+        return self._put(self._local, now_s)
 
     def merge(self, entry: tables.Entry, now_s: float) -> Change | None:
         """Takes an entry from a peer.
@@ -125,7 +128,7 @@
             InvalidInputError: The entry does not describe a member.
         """
         member = members_lib.member_from_entry(entry)
-        if member.node_id == self._me.node_id:
+        if member.node_id == self._local.node_id:
             return self._refute(member, now_s)
         before = self._members.get(member.node_id)
         if before is None and member.status in (
@@ -143,7 +146,7 @@
         """Notes that nobody reached a member."""
         member = self._members.get(node_id)
         if member is not None:
-            self._probe_order.unreached(member)
+            self._probe_order.record_failure(member)
         return self._demote(node_id, members_lib.Status.SUSPECT, now_s)
 
     def advance(self, now_s: float) -> list[Change]:
@@ -166,15 +169,17 @@
 
     def next_probe(self) -> members_lib.Member | None:
         """Returns the member to probe in this period."""
-        mine = self._me.node_id
+        mine = self._local.node_id
         others = [m for m in self._members.values() if m.node_id != mine]
         return self._probe_order.next(others)
 
-    def answered(self, member: members_lib.Member) -> None:
+    def record_probe_answer(self, member: members_lib.Member) -> None:
         """Notes that a member answered a probe."""
-        self._probe_order.answered(member)
+        self._probe_order.record_answer(member)
 
-    def helpers(self, node_id: str, most: int) -> list[members_lib.Member]:
+    def indirect_probers(
+        self, node_id: str, most: int
+    ) -> list[members_lib.Member]:
         """Returns members who may be asked to probe another one."""
         others = self._others(besides=node_id)
         return self._rng.sample(others, min(most, len(others)))
@@ -187,7 +192,7 @@
         """Returns members of other data centres, drawn at random."""
         return self._draw(self._far(), most)
 
-    def far_share(self) -> float:
+    def far_fanout(self) -> float:
         """Returns how many far members a node tells its news on average.
 
         So many that the nodes of this data centre together tell one member of
@@ -218,7 +223,7 @@
 
     def leave(self, now_s: float) -> Change:
         """Marks this node as gone for good, by its own will."""
-        return self.update_me(
+        return self.update_local_member(
             now_s, status=members_lib.Status.LEFT, draining=True
         )
 
@@ -228,30 +233,30 @@
         return periods * self._timing.period_s
 
     def _refute(self, rumor: members_lib.Member, now_s: float) -> Change | None:
-        mine = self._me
-        if self._me.status is members_lib.Status.LEFT:
+        mine = self._local
+        if self._local.status is members_lib.Status.LEFT:
             return None
         if rumor.incarnation > mine.incarnation:
             # Our wall clock stepped back since the last start: the old
             # process's entry would win for ever. Go above it.
-            self._me = dataclasses.replace(
+            self._local = dataclasses.replace(
                 mine, incarnation=rumor.incarnation + 1
             )
-            return self.update_me(now_s)
+            return self.update_local_member(now_s)
         same = rumor.to_entry().version <= mine.to_entry().version
         if same or rumor.incarnation < mine.incarnation:
             return None
         self._refuted += 1
-        self._me = dataclasses.replace(
+        self._local = dataclasses.replace(
             mine, revision=max(mine.revision, rumor.revision)
         )
-        return self.update_me(now_s)
+        return self.update_local_member(now_s)
 
     def _demote(
         self, node_id: str, status: members_lib.Status, now_s: float
     ) -> Change | None:
         member = self._members.get(node_id)
-        if member is None or node_id == self._me.node_id:
+        if member is None or node_id == self._local.node_id:
             return None
         if members_lib.RANK[member.status] >= members_lib.RANK[status]:
             return None
@@ -276,16 +281,16 @@
         return self._rng.sample(members, min(most, len(members)))
 
     def _near(self) -> list[members_lib.Member]:
-        mine = self._me.data_center
+        mine = self._local.data_center
         return [m for m in self._others("") if m.data_center == mine]
 
     def _far(self) -> list[members_lib.Member]:
-        mine = self._me.data_center
+        mine = self._local.data_center
         return [m for m in self._others("") if m.data_center != mine]
 
     def _others(self, besides: str) -> list[members_lib.Member]:
         return [
             m
             for m in self.usable()
-            if m.node_id not in (self._me.node_id, besides)
+            if m.node_id not in (self._local.node_id, besides)
         ]
--- a/packages/burdockfront/src/burdockfront/routes.py
+++ b/packages/burdockfront/src/burdockfront/routes.py
@@ -150,14 +150,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
+class RouteMatch:
     """The route of a request, and the service that this one goes to."""
 
     route: Route
     service: str
 
 
-class RouteBook:
+class RouteResolver:
     """The table in force at one node.
 
     Args:
@@ -195,7 +195,7 @@
                 return entry.path
         return ""
 
-    def names(self, service: str) -> bool:
+    def knows_service(self, service: str) -> bool:
         """Whether operators named a service."""
         return service in self._services
 
@@ -239,7 +239,7 @@
                 )
         return True
 
-    def find(self, host: str, target: str) -> Found | None:
+    def find(self, host: str, target: str) -> RouteMatch | None:
         """Returns the route with the longest prefix of a target's path.
 
         A route that is split goes on to its next service.
@@ -248,7 +248,7 @@
         if key is None:
             return None
         route = self._by_prefix[key]
-        return Found(route, self._service_of(key, route))
+        return RouteMatch(route, self._service_of(key, route))
 
     def route_of(self, host: str, target: str) -> Route | None:
         """Returns the same route, and leaves its split as it is."""
--- a/packages/burdockfront/src/burdockfront/self_reports.py
+++ b/packages/burdockfront/src/burdockfront/self_reports.py
@@ -45,12 +45,12 @@
     """The latest self report of one incarnation, as exchanged between nodes.
 
     Attributes:
-        start: The incarnation of the backend server.
+        incarnation: The incarnation of the backend server.
         leaving: It is shutting down and wants no new work.
         limit_per_s: Accepted requests per second; None if it is not limited.
     """
 
-    start: incarnations.Start
+    incarnation: incarnations.Incarnation
     leaving: bool = False
     limit_per_s: float | None = None
 
@@ -61,10 +61,10 @@
 
     def to_parts(self) -> list[object]:
         """Returns the wire form that nodes exchange."""
-        start = self.start
+        incarnation = self.incarnation
         return [
-            start.instance_id,
-            start.born_ms,
+            incarnation.instance_id,
+            incarnation.born_ms,
             self.leaving,
             self.limit_per_s,
         ]
@@ -104,7 +104,7 @@
         """
         known = self.by_node.get(node_id)
         if known is not None and known.leaving:
-            if known.start.may_be(report.start):
+            if known.incarnation.may_be(report.incarnation):
                 report = dataclasses.replace(report, leaving=True)
             elif not from_server:
                 return
@@ -150,8 +150,8 @@
         raise _invalid(parts)
     if limit_per_s is not None and not _is_limit(limit_per_s):
         raise _invalid(parts)
-    start = incarnations.Start(instance_id, born_ms)
-    return SelfReport(start, leaving, limit_per_s)
+    incarnation = incarnations.Incarnation(instance_id, born_ms)
+    return SelfReport(incarnation, leaving, limit_per_s)
 
 
 def _is_number(value: object) -> bool:
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -12,8 +12,8 @@
 from burdockfront_node import backend_beliefs
 from tests import builders
 
-_FIRST = incarnations.Start("i-1", 17)
-_NEXT = incarnations.Start("i-2", 18)
+_FIRST = incarnations.Incarnation("i-1", 17)
+_NEXT = incarnations.Incarnation("i-2", 18)
 _LIMITED = self_reports.SelfReport(_FIRST, limit_per_s=6.5)
 _LEAVING = self_reports.SelfReport(_FIRST, leaving=True)
 
@@ -114,7 +114,7 @@
     reports.record("n1", self_reports.SelfReport(_FIRST), True)
     assert reports.by_node["n1"].leaving, "leaving can not be revoked"
     reports.record("n1", self_reports.SelfReport(_NEXT), False)
-    assert reports.by_node["n1"].start == _FIRST
+    assert reports.by_node["n1"].incarnation == _FIRST
     reports.record("n1", self_reports.SelfReport(_NEXT), True)
     assert not reports.by_node
 
--- a/tests/unit/test_state.py
+++ b/tests/unit/test_state.py
@@ -77,7 +77,7 @@
     # The process is paused for a minute and wakes up still believing in its
     # lease. Its successor already acts. The token check stops it.
     holder = leases.LeaseHolder(margin_s=1.0)
-    holder.granted(leases.Grant("seeds", 4, 10.0), asked_at_s=100.0)
+    holder.record_grant(leases.Grant("seeds", 4, 10.0), requested_at_s=100.0)
     assert holder.token(105.0) == 4
     with pytest.raises(errors.LeaseLostError, match="nothing was done"):
         holder.token(160.0)
@@ -85,8 +85,8 @@
 
 def test_late_answer_to_an_old_request_does_not_extend_a_lease():
     holder = leases.LeaseHolder(margin_s=0.0)
-    holder.granted(leases.Grant("seeds", 4, 10.0), asked_at_s=100.0)
-    holder.granted(leases.Grant("seeds", 3, 10.0), asked_at_s=150.0)
+    holder.record_grant(leases.Grant("seeds", 4, 10.0), requested_at_s=100.0)
+    holder.record_grant(leases.Grant("seeds", 3, 10.0), requested_at_s=150.0)
     assert not holder.holds(120.0)
 
 
@@ -140,4 +140,4 @@
     old = builders.a_member("n1", incarnation=9, status=members.Status.DEAD)
     change = mine.merge(old.to_entry(), 1.0)
     assert change is not None
-    assert mine.me.incarnation > 9
+    assert mine.local_member.incarnation > 9
