--- a/packages/burdockfront-node/src/burdockfront_node/controllers/crash_news.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/crash_news.py
@@ -55,7 +55,7 @@
         on_news: Callable[[], None],
         recorder: timeline.Recorder,
     ):
-        self.book = crashes_lib.CrashBook()
+        self.book = crashes_lib.CrashTracker()
         self.on_quarantined: Callable[[str], None] = _keep_nothing
         self._membership = membership
         self._push = push
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
@@ -49,7 +49,7 @@
         self,
         boot_id: str,
         store: store_lib.StoreClient,
-        crashes: crashes_lib.CrashBook,
+        crashes: crashes_lib.CrashTracker,
         take: Callable[[tables.Entry], object],
     ):
         self._boot_id = boot_id
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
@@ -50,7 +50,7 @@
         link: peer_link.PeerLink,
         membership: membership_lib.Membership,
         configuration: configuration_lib.Configuration,
-        crashes: crashes_lib.CrashBook,
+        crashes: crashes_lib.CrashTracker,
         ready: asyncio.Event,
         take: Callable[[dict[str, Any], str], None],
         budget: exchange_pace.ByteBudget,
--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         boot_id: str,
-        book: crashes.CrashBook,
+        book: crashes.CrashTracker,
         tell: Callable[[tables.Entry], None],
         recorder: timeline.Recorder,
         is_gone: crash_watch_lib.IsGone = backend_probe.is_gone,
@@ -173,7 +173,7 @@
 
 def alone(recorder: timeline.Recorder) -> Quarantine:
     """Returns the quarantine of a node that has no others to tell."""
-    book = crashes.CrashBook()
+    book = crashes.CrashTracker()
 
     def tell(entry: tables.Entry) -> None:
         book.merge(entry, time.monotonic(), time.time())
--- a/packages/burdockfront/src/burdockfront/crashes.py
+++ b/packages/burdockfront/src/burdockfront/crashes.py
@@ -141,7 +141,7 @@
         return sum(account in accounts for accounts in found)
 
 
-class CrashBook:
+class CrashTracker:
     """The crashes that one node knows of.
 
     Args:
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -70,7 +70,7 @@
     """One node, and the server beside it."""
 
     def __init__(self, world: "World", number: int):
-        self.book = crashes.CrashBook()
+        self.book = crashes.CrashTracker()
         recorder = timeline.Recorder(f"n{number}", "dc1", 10)
         self.quarantine = quarantine_lib.Quarantine(
             f"boot-{number}", self.book, self._tell, recorder, self._is_gone
--- a/tests/properties/test_crashes.py
+++ b/tests/properties/test_crashes.py
@@ -27,7 +27,7 @@
 
 
 def _acquittal(crash_id: str, suspect: crashes.Suspect) -> tables.Entry:
-    book = crashes.CrashBook()
+    book = crashes.CrashTracker()
     book.merge(builders.a_crash(crash_id, suspect, at_s=_AT_S), 0.0, _AT_S)
     (entry,) = book.acquittals_of(suspect, _AT_S)
     return entry
@@ -55,7 +55,7 @@
         _acquittal(f"boot.{number}", suspect) for number, suspect in acquitted
     ]
     rng = random.Random(seed)
-    books = [crashes.CrashBook() for _ in range(3)]
+    books = [crashes.CrashTracker() for _ in range(3)]
     for book in books:
         order = entries + rng.sample(entries, len(entries) // 2)
         rng.shuffle(order)
--- a/tests/unit/test_crashes.py
+++ b/tests/unit/test_crashes.py
@@ -16,15 +16,15 @@
 _INNOCENT = crashes.Suspect("innocent", "fees")
 
 
-def _book(*entries: tables.Entry) -> crashes.CrashBook:
-    book = crashes.CrashBook(_RULES)
+def _book(*entries: tables.Entry) -> crashes.CrashTracker:
+    book = crashes.CrashTracker(_RULES)
     for entry in entries:
         book.merge(entry, 0.0, 0.0)
     return book
 
 
 def _standing(
-    book: crashes.CrashBook,
+    book: crashes.CrashTracker,
     suspect: crashes.Suspect = _DEADLY,
     now_s: float = 100.0,
 ) -> crashes.Standing:
@@ -152,8 +152,8 @@
     return crashes.Suspect("listing", "fees", account)
 
 
-def _book_of(*accounts: tuple[str, ...]) -> crashes.CrashBook:
-    book = crashes.CrashBook()
+def _book_of(*accounts: tuple[str, ...]) -> crashes.CrashTracker:
+    book = crashes.CrashTracker()
     for number, names in enumerate(accounts):
         found = [_of(name) for name in names]
         book.merge(builders.a_crash(f"n.{number}", *found), 0.0, 0.0)
--- a/tests/unit/test_crashing_backend.py
+++ b/tests/unit/test_crashing_backend.py
@@ -47,7 +47,7 @@
 
 def _guard(address: str) -> guard_lib.Guard:
     recorder = timeline.Recorder("n1", "dc1", 100)
-    book = crashes.CrashBook(crashes.Rules(pause_s=0.0))
+    book = crashes.CrashTracker(crashes.Rules(pause_s=0.0))
 
     def tell(entry: tables.Entry) -> None:
         book.merge(entry, time.monotonic(), time.time())
