--- a/packages/burdockfront/src/burdockfront/accounts.py
+++ b/packages/burdockfront/src/burdockfront/accounts.py
@@ -74,7 +74,7 @@
                 )
 
 
-class AccountBook:
+class AccountIndex:
     """The accounts in force at one node.
 
     Args:
@@ -93,7 +93,7 @@
         self,
         accounts: tuple[Account, ...] = (),
         route_ranks: Iterable[int] = (),
-        before: "AccountBook | None" = None,
+        before: "AccountIndex | None" = None,
     ):
         self.accounts = accounts
         self.in_use = bool(accounts)
--- a/packages/burdockfront/src/burdockfront/routes.py
+++ b/packages/burdockfront/src/burdockfront/routes.py
@@ -171,7 +171,7 @@
     def __init__(self, rng: random.Random):
         self._rng = rng
         self.limits = CallerLimits()
-        self.accounts = accounts_lib.AccountBook()
+        self.accounts = accounts_lib.AccountIndex()
         self._table: RouteTable | None = None
         self._services: frozenset[str] = frozenset()
         self._by_prefix: dict[tuple[str, str], Route] = {}
@@ -223,7 +223,7 @@
             for host in table.hosts
             for route in host.routes
         }
-        self.accounts = accounts_lib.AccountBook(
+        self.accounts = accounts_lib.AccountIndex(
             table.accounts,
             {route.rank for route in self._by_prefix.values()},
             before,
--- a/tests/unit/test_accounts.py
+++ b/tests/unit/test_accounts.py
@@ -11,7 +11,7 @@
 
 
 def test_key_admits_its_holder_and_nobody_else():
-    book = accounts.AccountBook(
+    book = accounts.AccountIndex(
         (
             builders.an_account("acme", "k-acme"),
             builders.an_account("zeta", "k-zeta"),
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("key", ["", "k-none", "k-acme, k-acme", "K-ACME"])
 def test_keys_that_are_not_exactly_one_that_is_known_admit_nobody(key):
     """Guards against lists of keys, and keys that are nearly right."""
-    book = accounts.AccountBook((builders.an_account("acme", "k-acme"),))
+    book = accounts.AccountIndex((builders.an_account("acme", "k-acme"),))
     assert book.holder_of(key) is None
 
 
@@ -53,7 +53,7 @@
 def test_rank_of_the_account_goes_before_that_of_the_route():
     first = builders.an_account("first", "k1", rank=0)
     usual = builders.an_account("usual", "k2", rank=1)
-    book = accounts.AccountBook((first, usual), [0, 1, 2])
+    book = accounts.AccountIndex((first, usual), [0, 1, 2])
     ranked = [
         book.rank_of(account, rank)
         for account in (first, usual)
@@ -68,14 +68,14 @@
     found = tuple(
         builders.an_account(f"a{rank}", f"k{rank}", rank=rank) for rank in ranks
     )
-    book = accounts.AccountBook(found, [0, 1, 2])
+    book = accounts.AccountIndex(found, [0, 1, 2])
     for account in (*found, None):
         assert book.rank_of(account, 0) < book.rank_of(account, 2) < 8
 
 
 def test_routes_alone_rank_where_all_accounts_matter_alike():
     usual = builders.an_account("usual", "k", rank=1)
-    book = accounts.AccountBook((usual,), [0, 2])
+    book = accounts.AccountIndex((usual,), [0, 2])
     assert book.rank_of(usual, 2) == 2
     assert book.rank_of(None, 1) == 1
 
