--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -69,7 +69,7 @@
         self._limits = limits
         self._recorder = recorder
         self._rng = rng
-        self.keeper = quota_keeper.QuotaKeeper(limits)
+        self.keeper = quota_keeper.QuotaAllocator(limits)
         self._local = local_quotas.LocalQuotas(limits, rng)
         self._waiting: dict[tuple[str, int], list[asyncio.Future[float]]] = {}
         self._due = asyncio.Event()
--- a/packages/burdockfront/src/burdockfront/quota_keeper.py
+++ b/packages/burdockfront/src/burdockfront/quota_keeper.py
@@ -39,7 +39,7 @@
     begun: float = 0.0
 
 
-class QuotaKeeper:
+class QuotaAllocator:
     """The buckets at one node, for those who report to it.
 
     Args:
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -55,7 +55,7 @@
     def __init__(self, number: int, world: "World", born_s: float):
         self.number = number
         self.born_s = born_s
-        self.keeper = quota_keeper.QuotaKeeper(world.limits)
+        self.keeper = quota_keeper.QuotaAllocator(world.limits)
         self.local = local_quotas.LocalQuotas(world.limits, world.rng)
         self.next_report_s = born_s + world.rng.uniform(0.0, REPORT_S)
         self.avoided: dict[int, float] = {}
