--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -15,7 +15,7 @@
 from burdockfront import accounts as accounts_lib
 from burdockfront import errors
 from burdockfront import local_quotas
-from burdockfront import quota_keeper
+from burdockfront import quota_allocator
 from burdockfront import quotas
 from burdockfront import timeline
 from burdockfront_node.controllers import exchange as exchange_lib
@@ -69,7 +69,7 @@
         self._limits = limits
         self._recorder = recorder
         self._rng = rng
-        self.keeper = quota_keeper.QuotaAllocator(limits)
+        self.keeper = quota_allocator.QuotaAllocator(limits)
         self._local = local_quotas.LocalQuotas(limits, rng)
         self._waiting: dict[tuple[str, int], list[asyncio.Future[float]]] = {}
         self._due = asyncio.Event()
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -10,7 +10,7 @@
 import random
 
 from burdockfront import local_quotas
-from burdockfront import quota_keeper
+from burdockfront import quota_allocator
 from burdockfront import quotas
 
 TICK_S = 0.01
@@ -55,7 +55,7 @@
     def __init__(self, number: int, world: "World", born_s: float):
         self.number = number
         self.born_s = born_s
-        self.keeper = quota_keeper.QuotaAllocator(world.limits)
+        self.keeper = quota_allocator.QuotaAllocator(world.limits)
         self.local = local_quotas.LocalQuotas(world.limits, world.rng)
         self.next_report_s = born_s + world.rng.uniform(0.0, REPORT_S)
         self.avoided: dict[int, float] = {}
