--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -35,7 +35,7 @@
         return quotas.Report(
             str(data["n"]),
             tuple(
-                quotas.Spent(*row) for row in _SPENT.validate_python(data["s"])
+                quotas.Usage(*row) for row in _SPENT.validate_python(data["s"])
             ),
             tuple(
                 quotas.Wanted(*row)
--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -78,10 +78,10 @@
         """Takes back a request that was admitted, and ran nowhere."""
         self._spent[account] = self._spent.get(account, 0) - 1
 
-    def report(self) -> tuple[quotas.Spent, ...]:
+    def report(self) -> tuple[quotas.Usage, ...]:
         """Returns what was admitted since the last report."""
         found = tuple(
-            quotas.Spent(account, count)
+            quotas.Usage(account, count)
             for account, count in self._spent.items()
             if count
         )
@@ -104,7 +104,7 @@
                     until_s, granted.wait_s
                 )
 
-    def unanswered(self, spent: tuple[quotas.Spent, ...]) -> None:
+    def unanswered(self, spent: tuple[quotas.Usage, ...]) -> None:
         """Takes back a report that no keeper answered.
 
         It may have been counted: to count it twice refuses some requests, not
--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spent:
+class Usage:
     """Requests that a node admitted by itself since its last report.
 
     Fewer than none if tokens were given back.
@@ -86,7 +86,7 @@
     """
 
     node_id: str
-    spent: tuple[Spent, ...] = ()
+    spent: tuple[Usage, ...] = ()
     wanted: tuple[Wanted, ...] = ()
 
 
