--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -173,7 +173,7 @@
             self._exchange.membership.me.node_id,
             spent,
             tuple(
-                quotas.Wanted(account, rank, len(answers))
+                quotas.TokenRequest(account, rank, len(answers))
                 for (account, rank), answers in waiting.items()
             ),
         )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -38,7 +38,7 @@
                 quotas.Usage(*row) for row in _SPENT.validate_python(data["s"])
             ),
             tuple(
-                quotas.Wanted(*row)
+                quotas.TokenRequest(*row)
                 for row in _WANTED.validate_python(data["w"])
             ),
         )
--- a/packages/burdockfront/src/burdockfront/quota_allocator.py
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -169,7 +169,7 @@
         return bucket
 
     def _grant(
-        self, asked: quotas.Wanted, node_id: str, now_s: float
+        self, asked: quotas.TokenRequest, node_id: str, now_s: float
     ) -> quotas.Granted:
         bucket = self._bucket(asked.account, now_s)
         limit = self._limits.limit_of(asked.account)
--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
+class TokenRequest:
     """Requests that wait at a node for tokens.
 
     Attributes:
@@ -87,12 +87,12 @@
 
     node_id: str
     spent: tuple[Usage, ...] = ()
-    wanted: tuple[Wanted, ...] = ()
+    wanted: tuple[TokenRequest, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """The answer to a `Wanted`.
+    """The answer to a `TokenRequest`.
 
     Attributes:
         account: Whose tokens.
--- a/tests/properties/test_quotas.py
+++ b/tests/properties/test_quotas.py
@@ -157,7 +157,7 @@
     granted = {0: 0, 2: 0}
     for tenth in range(100):
         asked = tuple(
-            quotas.Wanted(quota_world.ACCOUNT, rank, 1) for rank in (2, 0)
+            quotas.TokenRequest(quota_world.ACCOUNT, rank, 1) for rank in (2, 0)
         )
         dealt = node.keeper.take(
             quotas.Report("n0", (), asked), 1, tenth / 10.0
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -173,12 +173,12 @@
 
     def _ask(self, node: _Node) -> float:
         """Returns 0 with a token, or when there will be one."""
-        dealt = self._report(node, (quotas.Wanted(ACCOUNT, 0, 1),))
+        dealt = self._report(node, (quotas.TokenRequest(ACCOUNT, 0, 1),))
         granted = dealt.granted[0]
         return 0.0 if granted.count else granted.wait_s
 
     def _report(
-        self, node: _Node, wanted: tuple[quotas.Wanted, ...]
+        self, node: _Node, wanted: tuple[quotas.TokenRequest, ...]
     ) -> quotas.Dealt:
         node.local.nodes = len(self._nodes)
         report = quotas.Report(node.name, node.local.report(), wanted)
