--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -66,7 +66,7 @@
     try:
         return quotas.Dealt(
             tuple(
-                quotas.Granted(*row)
+                quotas.TokenGrant(*row)
                 for row in _GRANTED.validate_python(data["g"])
             ),
             frozenset(_NAMES.validate_python(data["c"])),
--- a/packages/burdockfront/src/burdockfront/quota_allocator.py
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -170,11 +170,13 @@
 
     def _grant(
         self, asked: quotas.TokenRequest, node_id: str, now_s: float
-    ) -> quotas.Granted:
+    ) -> quotas.TokenGrant:
         bucket = self._bucket(asked.account, now_s)
         limit = self._limits.limit_of(asked.account)
         if bucket is None or limit is None:
-            return quotas.Granted(asked.account, asked.rank, asked.count, 0.0)
+            return quotas.TokenGrant(
+                asked.account, asked.rank, asked.count, 0.0
+            )
         reserve = _reserve_of(asked.rank, limit) * self._share
         held_back = self._held_back(asked.account, bucket, limit, node_id)
         free = max(0, int(bucket.level - reserve - held_back))
@@ -183,7 +185,7 @@
         missing = 1.0 + reserve + held_back - bucket.level
         rate = max(_LEAST_SHARE, limit.rate_per_s * self._share)
         wait_s = max(0.0, missing / rate)
-        return quotas.Granted(asked.account, asked.rank, count, wait_s)
+        return quotas.TokenGrant(asked.account, asked.rank, count, wait_s)
 
     def _held_back(
         self, account: str, bucket: _Bucket, limit: quotas.Limit, node_id: str
--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Granted:
+class TokenGrant:
     """The answer to a `TokenRequest`.
 
     Attributes:
@@ -116,7 +116,7 @@
         scarce: Accounts whose requests need tokens from now on.
     """
 
-    granted: tuple[Granted, ...] = ()
+    granted: tuple[TokenGrant, ...] = ()
     scarce: frozenset[str] = frozenset()
 
 
