--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -188,7 +188,7 @@
         self._note_scarce(before, self._local.scarce)
         self._hand_out(dealt, waiting)
 
-    async def _ask_keeper(self, report: quotas.Report) -> quotas.Dealt:
+    async def _ask_keeper(self, report: quotas.Report) -> quotas.Allocation:
         """Asks the keeper, another one if it does not answer, or itself."""
         for _ in range(TRIES):
             keeper = self._choice.choose()
@@ -216,7 +216,7 @@
 
     def _hand_out(
         self,
-        dealt: quotas.Dealt,
+        dealt: quotas.Allocation,
         waiting: dict[tuple[str, int], list[asyncio.Future[float]]],
     ) -> None:
         for granted in dealt.granted:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -46,7 +46,7 @@
         raise _unreadable("a report of quotas", error) from None
 
 
-def write_dealt(dealt: quotas.Dealt) -> dict[str, Any]:
+def write_dealt(dealt: quotas.Allocation) -> dict[str, Any]:
     """Returns an answer as it travels."""
     return {
         "g": [
@@ -57,14 +57,14 @@
     }
 
 
-def read_dealt(data: dict[str, Any]) -> quotas.Dealt:
+def read_dealt(data: dict[str, Any]) -> quotas.Allocation:
     """Reads an answer.
 
     Raises:
         InvalidInputError: It does not have the shape of one.
     """
     try:
-        return quotas.Dealt(
+        return quotas.Allocation(
             tuple(
                 quotas.TokenGrant(*row)
                 for row in _GRANTED.validate_python(data["g"])
--- a/packages/burdockfront/src/burdockfront/quota_allocator.py
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -74,7 +74,7 @@
 
     def take(
         self, report: quotas.Report, nodes: int, now_s: float
-    ) -> quotas.Dealt:
+    ) -> quotas.Allocation:
         """Takes a report, and returns the answer.
 
         Args:
@@ -97,7 +97,7 @@
         )
         for account in list(self._scarce):
             self._bucket(account, now_s)
-        return quotas.Dealt(granted, frozenset(self._scarce))
+        return quotas.Allocation(granted, frozenset(self._scarce))
 
     def _begin_term(self, now_s: float) -> None:
         """Forgets buckets in whose place others have dealt meanwhile."""
--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -108,7 +108,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dealt:
+class Allocation:
     """A keeper's answer to a report.
 
     Attributes:
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -179,7 +179,7 @@
 
     def _report(
         self, node: _Node, wanted: tuple[quotas.TokenRequest, ...]
-    ) -> quotas.Dealt:
+    ) -> quotas.Allocation:
         node.local.nodes = len(self._nodes)
         report = quotas.Report(node.name, node.local.report(), wanted)
         keeper = self._keeper_of(node)
