--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -127,7 +127,7 @@
         limit = self._limits.limit_of(account)
         if limit is None:
             return 0
-        return quotas.may_spend_unreported(limit, self.nodes)
+        return quotas.max_unreported(limit, self.nodes)
 
     def _refused_s(self, account: str, rank: int, now_s: float) -> float:
         """Returns when to come back, if there is no token for certain."""
--- a/packages/burdockfront/src/burdockfront/quota_allocator.py
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -155,7 +155,7 @@
         bucket.level = min(depth, bucket.level + gained)
         bucket.at_s = now_s
         rate = limit.rate_per_s * self._share
-        blind = self._reported_nodes * quotas.may_spend_unreported(
+        blind = self._reported_nodes * quotas.max_unreported(
             limit, self._reported_nodes
         )
         scarce_below = max(_SCARCE_BELOW_S * rate, blind)
@@ -207,7 +207,7 @@
             at_s < since_s and name != node_id
             for name, at_s in self._heard_at_s.items()
         )
-        each = quotas.may_spend_unreported(limit, self._reported_nodes)
+        each = quotas.max_unreported(limit, self._reported_nodes)
         return min(unaware * each, limit.depth * _HELD_BACK)
 
 
--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -120,7 +120,7 @@
     scarce: frozenset[str] = frozenset()
 
 
-def may_spend_unreported(limit: Limit, nodes: int) -> int:
+def max_unreported(limit: Limit, nodes: int) -> int:
     """Returns how much a node may admit before its report is answered.
 
     All nodes together no more than half of what the bucket holds, nor than
--- a/tests/properties/test_quotas.py
+++ b/tests/properties/test_quotas.py
@@ -62,7 +62,7 @@
         _play(world, kind, numbers)
     # What nodes admitted unasked, and what those that were killed did.
     killed = quota_world.most_in_window(world.killed_s, _WINDOW_S)
-    each = quotas.may_spend_unreported(limits.limit, _NODES)
+    each = quotas.max_unreported(limits.limit, _NODES)
     unreported = each * (_NODES + killed)
     # A node that turns to another keeper counts at both for a second.
     moved = quota_world.most_in_window(world.moved_s, _WINDOW_S)
@@ -144,7 +144,7 @@
     world.play(1.0, 90.0)
     world.admitted_s.clear()
     world.play(10.0, 90.0)
-    unreported = quotas.may_spend_unreported(limits.limit, _NODES) * _NODES
+    unreported = quotas.max_unreported(limits.limit, _NODES) * _NODES
     assert world.most_in_window(_WINDOW_S) <= 5.0 * 5.0 + 5.0 + unreported
 
 
