--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -8,7 +8,7 @@
 # Without an answer of a keeper for so long, nothing is admitted unasked: the
 # account may be spent elsewhere. Long enough to ask another keeper in place of
 # one that was lost.
-TRUSTED_S = 1.5
+ALLOCATION_TTL_S = 1.5
 # After a refusal an account's requests are refused without another question
 # until there is a token, but not for longer than this: limits may be raised.
 _LONGEST_REFUSAL_S = 0.5
@@ -95,7 +95,7 @@
             account: self._may_spend(account) - count
             for account, count in self._spent.items()
         }
-        self._trusted_until_s = now_s + TRUSTED_S
+        self._trusted_until_s = now_s + ALLOCATION_TTL_S
         self.scarce = dealt.scarce
         for granted in dealt.granted:
             if granted.wait_s > SHORT_WAIT_S and granted.count == 0:
--- a/tests/unit/test_time_budgets.py
+++ b/tests/unit/test_time_budgets.py
@@ -85,7 +85,9 @@
 def test_lower_quota_binds_within_a_window_of_its_table():
     """Guards against nodes that go on by an old keeper's word."""
     lost_keepers_s = quota_exchange.TRIES * quota_exchange.TIMEOUT_S
-    sum_s = quota_exchange.REPORT_S + lost_keepers_s + local_quotas.TRUSTED_S
+    sum_s = (
+        quota_exchange.REPORT_S + lost_keepers_s + local_quotas.ALLOCATION_TTL_S
+    )
     assert sum_s < _QUOTA_WINDOW_S
 
 
