--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -109,7 +109,7 @@
         """Spends one request by a token of the keeper."""
         asked = (account.name, rank)
         wait_s = await self._ask_once(asked)
-        if 0.0 < wait_s <= local_quotas.SHORT_WAIT_S:
+        if 0.0 < wait_s <= local_quotas.MAX_TOKEN_WAIT_S:
             await asyncio.sleep(wait_s)
             wait_s = await self._ask_once(asked)
         if not wait_s:
--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -13,7 +13,7 @@
 # until there is a token, but not for longer than this: limits may be raised.
 _LONGEST_REFUSAL_S = 0.5
 # For a token that comes so soon a request waits in place of being refused.
-SHORT_WAIT_S = 0.1
+MAX_TOKEN_WAIT_S = 0.1
 # Callers return between once and so many times the time until then, or they
 # would all come back in one moment.
 _SPREAD = 2.0
@@ -98,7 +98,7 @@
         self._trusted_until_s = now_s + ALLOCATION_TTL_S
         self.scarce = dealt.scarce
         for granted in dealt.granted:
-            if granted.wait_s > SHORT_WAIT_S and granted.count == 0:
+            if granted.wait_s > MAX_TOKEN_WAIT_S and granted.count == 0:
                 until_s = now_s + min(_LONGEST_REFUSAL_S, granted.wait_s)
                 self._refused[granted.account, granted.rank] = _Refused(
                     until_s, granted.wait_s
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -160,7 +160,7 @@
         refused_s = node.local.spend(ACCOUNT, 0, self.now_s)
         if refused_s is None:
             refused_s = self._ask(node)
-            if 0.0 < refused_s <= local_quotas.SHORT_WAIT_S:
+            if 0.0 < refused_s <= local_quotas.MAX_TOKEN_WAIT_S:
                 self._waiting.append((self.now_s + refused_s, number))
                 return
         self._count(refused_s)
