--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -155,7 +155,9 @@
             raise NotReadyError()
         report = quota_wire.read_report(message)
         self._limits.look(time.monotonic())
-        dealt = self.keeper.take(report, self._choice.nodes(), time.monotonic())
+        dealt = self.keeper.on_report(
+            report, self._choice.nodes(), time.monotonic()
+        )
         return quota_wire.write_dealt(dealt)
 
     async def _wait(self) -> None:
@@ -212,7 +214,9 @@
             self._note_keeper(keeper.node_id)
             return dealt
         self._note_keeper(report.node_id)
-        return self.keeper.take(report, self._choice.nodes(), time.monotonic())
+        return self.keeper.on_report(
+            report, self._choice.nodes(), time.monotonic()
+        )
 
     def _hand_out(
         self,
--- a/packages/burdockfront/src/burdockfront/quota_allocator.py
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -72,7 +72,7 @@
         bucket = self._buckets.get(account)
         return bucket.level if bucket is not None else 0.0
 
-    def take(
+    def on_report(
         self, report: quotas.Report, nodes: int, now_s: float
     ) -> quotas.Allocation:
         """Takes a report, and returns the answer.
--- a/tests/properties/test_quotas.py
+++ b/tests/properties/test_quotas.py
@@ -153,13 +153,13 @@
     limits = quota_world.Limits(10.0, 20.0)
     world = quota_world.World(1, limits, 3)
     node = world._nodes[0]
-    node.keeper.take(quotas.Report("n0"), 1, 0.0)
+    node.keeper.on_report(quotas.Report("n0"), 1, 0.0)
     granted = {0: 0, 2: 0}
     for tenth in range(100):
         asked = tuple(
             quotas.TokenRequest(quota_world.ACCOUNT, rank, 1) for rank in (2, 0)
         )
-        dealt = node.keeper.take(
+        dealt = node.keeper.on_report(
             quotas.Report("n0", (), asked), 1, tenth / 10.0
         )
         for answer in dealt.granted:
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -187,7 +187,7 @@
             node.asked_last = keeper.number
             self.moved_s.append(self.now_s)
         self.messages += keeper is not node
-        dealt = keeper.keeper.take(report, len(self._nodes), self.now_s)
+        dealt = keeper.keeper.on_report(report, len(self._nodes), self.now_s)
         if not self.way.unasked:
             dealt = dataclasses.replace(dealt, scarce=frozenset([ACCOUNT]))
         node.local.answered(dealt, self.now_s)
