--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -186,7 +186,7 @@
             _refuse_all(waiting)
             raise
         before = self._local.scarce
-        self._local.answered(dealt, time.monotonic())
+        self._local.on_allocation(dealt, time.monotonic())
         self._note_scarce(before, self._local.scarce)
         self._hand_out(dealt, waiting)
 
--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -88,7 +88,7 @@
         self._spent.clear()
         return found
 
-    def answered(self, dealt: quotas.Allocation, now_s: float) -> None:
+    def on_allocation(self, dealt: quotas.Allocation, now_s: float) -> None:
         """Takes a keeper's answer to the last report."""
         # What was spent while the report was under way is still unreported.
         self._left = {
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -190,7 +190,7 @@
         dealt = keeper.keeper.on_report(report, len(self._nodes), self.now_s)
         if not self.way.unasked:
             dealt = dataclasses.replace(dealt, scarce=frozenset([ACCOUNT]))
-        node.local.answered(dealt, self.now_s)
+        node.local.on_allocation(dealt, self.now_s)
         node.next_report_s = self.now_s + REPORT_S
         return dealt
 
