--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -182,7 +182,7 @@
         try:
             dealt = await self._ask_keeper(report)
         except BaseException:
-            self._local.unanswered(spent)
+            self._local.on_report_failure(spent)
             _refuse_all(waiting)
             raise
         before = self._local.scarce
--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -104,7 +104,7 @@
                     until_s, granted.wait_s
                 )
 
-    def unanswered(self, spent: tuple[quotas.Usage, ...]) -> None:
+    def on_report_failure(self, spent: tuple[quotas.Usage, ...]) -> None:
         """Takes back a report that no keeper answered.
 
         It may have been counted: to count it twice refuses some requests, not
