--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -100,7 +100,7 @@
         self, account: accounts_lib.Account, rank: int, now_s: float
     ) -> float | None:
         """Spends one request at once; None if `ask` has to find out."""
-        refused_s = self._local.spend(account.name, rank, now_s)
+        refused_s = self._local.admit(account.name, rank, now_s)
         if refused_s:
             self.refused[account.name] += 1
         return refused_s
--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -47,7 +47,7 @@
         self.scarce: frozenset[str] = frozenset()
         self.nodes = 1
 
-    def spend(self, account: str, rank: int, now_s: float) -> float | None:
+    def admit(self, account: str, rank: int, now_s: float) -> float | None:
         """Spends one request if that can be decided here.
 
         Args:
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -157,7 +157,7 @@
         if not self._is_up(node):
             return
         self.asked_s.append(self.now_s)
-        refused_s = node.local.spend(ACCOUNT, 0, self.now_s)
+        refused_s = node.local.admit(ACCOUNT, 0, self.now_s)
         if refused_s is None:
             refused_s = self._ask(node)
             if 0.0 < refused_s <= local_quotas.MAX_TOKEN_WAIT_S:
