--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
@@ -68,7 +68,7 @@
         By each node that saw one of its crashes. They may hear of the others'
         crashes all in one moment, and the store may turn one of them away.
         """
-        if self._crashes.is_witness(fingerprint, self._boot_id):
+        if self._crashes.is_reported_by(fingerprint, self._boot_id):
             self._due.add(fingerprint)
             self._has_due.set()
 
--- a/packages/burdockfront/src/burdockfront/crashes.py
+++ b/packages/burdockfront/src/burdockfront/crashes.py
@@ -221,7 +221,7 @@
             for source in sources
         ]
 
-    def is_witness(self, fingerprint: str, boot_id: str) -> bool:
+    def is_reported_by(self, fingerprint: str, boot_id: str) -> bool:
         """Whether a process told of a crash that counts against a request."""
         record = self._records.get(fingerprint)
         if record is None:
