--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
@@ -119,7 +119,7 @@
 
     async def _keep(self, fingerprint: str) -> None:
         """Renews the key of a quarantined request, or writes it."""
-        evidence = self._crashes.evidence_of(fingerprint)
+        evidence = self._crashes.crash_entries_of(fingerprint)
         if fingerprint not in self._crashes.quarantined:
             # Its crashes are forgotten; the key goes with its lease.
             self._due.discard(fingerprint)
--- a/packages/burdockfront/src/burdockfront/crashes.py
+++ b/packages/burdockfront/src/burdockfront/crashes.py
@@ -229,7 +229,7 @@
         mine = f"{boot_id}."
         return any(crash.startswith(mine) for crash in record.sources_of)
 
-    def evidence_of(self, fingerprint: str) -> list[tables.Entry]:
+    def crash_entries_of(self, fingerprint: str) -> list[tables.Entry]:
         """Returns the crashes that count against a request, of it alone."""
         record = self._records.get(fingerprint)
         if record is None:
--- a/tests/unit/test_crashes.py
+++ b/tests/unit/test_crashes.py
@@ -180,4 +180,4 @@
     for entry in book.acquittals_of(_of("b"), 0.0):
         book.merge(entry, 0.0, 0.0)
     assert _standing(book, _of("d")) is not crashes.Standing.QUARANTINED
-    assert len(book.evidence_of("listing")) == 2
+    assert len(book.crash_entries_of("listing")) == 2
