--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -126,7 +126,7 @@
         )
 
     def _judge(self, suspect: crashes.Suspect) -> crashes.Judgement:
-        return self._book.judge(suspect, time.monotonic(), time.time())
+        return self._book.assess(suspect, time.monotonic(), time.time())
 
     def _crashed(self, crash: crash_watch_lib.Crash) -> None:
         """Tells of a crash of the backend server beside this node."""
--- a/packages/burdockfront/src/burdockfront/crashes.py
+++ b/packages/burdockfront/src/burdockfront/crashes.py
@@ -173,7 +173,9 @@
             if len(record.sources_of) >= self._rules.crashes
         ]
 
-    def judge(self, suspect: Suspect, now_s: float, wall_s: float) -> Judgement:
+    def assess(
+        self, suspect: Suspect, now_s: float, wall_s: float
+    ) -> Judgement:
         """Tells how a request is to be treated.
 
         Args:
--- a/tests/properties/test_crashes.py
+++ b/tests/properties/test_crashes.py
@@ -67,7 +67,7 @@
         assert set(book.quarantined) == expected
         assert book.suspects == len(counts)
         for fingerprint in ("f1", "f2", "f3"):
-            standing = book.judge(
+            standing = book.assess(
                 crashes.Suspect(fingerprint), 0.0, _AT_S
             ).standing
             clear = not counts.get(fingerprint)
--- a/tests/unit/test_crashes.py
+++ b/tests/unit/test_crashes.py
@@ -28,7 +28,7 @@
     suspect: crashes.Suspect = _DEADLY,
     now_s: float = 100.0,
 ) -> crashes.Standing:
-    return book.judge(suspect, now_s, now_s).standing
+    return book.assess(suspect, now_s, now_s).standing
 
 
 def test_request_is_treated_by_how_many_servers_crashed_under_it():
@@ -107,7 +107,7 @@
     book = _book(
         *[builders.a_crash(f"a.{n}", _DEADLY, at_s=n) for n in (1, 2, 3, 4)]
     )
-    judgement = book.judge(_DEADLY, 10.0, 10.0)
+    judgement = book.assess(_DEADLY, 10.0, 10.0)
     # When the second of four is forgotten, two are left.
     assert judgement.refused_s == pytest.approx(592.0)
 
