--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -108,7 +108,7 @@
         self,
         call: calls.Call,
         suspect: crashes.Suspect,
-        judgement: crashes.Judgement,
+        judgement: crashes.Assessment,
     ) -> outcomes.Answer | None:
         """Returns a refusal, and logs what leads from its id to the crashes."""
         if not judgement.refused_s:
@@ -125,7 +125,7 @@
             outcomes.Reason.QUARANTINED, judgement.refused_s
         )
 
-    def _judge(self, suspect: crashes.Suspect) -> crashes.Judgement:
+    def _judge(self, suspect: crashes.Suspect) -> crashes.Assessment:
         return self._book.assess(suspect, time.monotonic(), time.time())
 
     def _crashed(self, crash: crash_watch_lib.Crash) -> None:
--- a/packages/burdockfront/src/burdockfront/crashes.py
+++ b/packages/burdockfront/src/burdockfront/crashes.py
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Judgement:
+class Assessment:
     """The standing of a request.
 
     Attributes:
@@ -113,8 +113,8 @@
     refused_s: float = 0.0
 
 
-_CLEAR = Judgement(Standing.CLEAR)
-_ALONE = Judgement(Standing.ALONE)
+_CLEAR = Assessment(Standing.CLEAR)
+_ALONE = Assessment(Standing.ALONE)
 
 
 @dataclasses.dataclass(slots=True)
@@ -175,7 +175,7 @@
 
     def assess(
         self, suspect: Suspect, now_s: float, wall_s: float
-    ) -> Judgement:
+    ) -> Assessment:
         """Tells how a request is to be treated.
 
         Args:
@@ -189,10 +189,10 @@
         count = record.count_for(suspect.account)
         if count >= self._rules.crashes:
             refused_s = self._remembered_s(record, wall_s)
-            return Judgement(Standing.QUARANTINED, refused_s)
+            return Assessment(Standing.QUARANTINED, refused_s)
         paused_s = record.heard_at_s + self._rules.pause_s - now_s
         if count == self._rules.crashes - 1 and paused_s > 0.0:
-            return Judgement(Standing.PAUSED, paused_s)
+            return Assessment(Standing.PAUSED, paused_s)
         return _ALONE
 
     def acquittals_of(
