--- a/packages/burdockfront-node/src/burdockfront_node/ticket_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/ticket_runs.py
@@ -136,7 +136,7 @@
             answer = await self._steps.hand_over(attempt, ticket.nonce)
         finally:
             if answer.outcome is outcomes.Outcome.NOT_RUN:
-                self._ledger.vouched(ticket.nonce, answer)
+                self._ledger.record_backend_refusal(ticket.nonce, answer)
             else:
                 self._ledger.finish(ticket.nonce, answer)
         return answer
--- a/packages/burdockfront/src/burdockfront/ledger.py
+++ b/packages/burdockfront/src/burdockfront/ledger.py
@@ -121,7 +121,9 @@
         assert not entry.handed_over, "what was handed over may have run"
         entry.answer = refusal
 
-    def vouched(self, nonce: str, refusal: outcomes.Answer) -> None:
+    def record_backend_refusal(
+        self, nonce: str, refusal: outcomes.Answer
+    ) -> None:
         """Keeps the backend server's own word that it ran nothing."""
         assert refusal.outcome is outcomes.Outcome.NOT_RUN
         self._entries[nonce].answer = refusal
