--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -17,10 +17,10 @@
     """Returns a report as it travels."""
     return {
         "n": report.node_id,
-        "s": [[spent.account, spent.count] for spent in report.spent],
+        "s": [[spent.account, spent.count] for spent in report.usage],
         "w": [
             [wanted.account, wanted.rank, wanted.count]
-            for wanted in report.wanted
+            for wanted in report.requests
         ],
     }
 
--- a/packages/burdockfront/src/burdockfront/quota_allocator.py
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -86,12 +86,12 @@
         self._begin_term(now_s)
         self._reported_nodes = max(1, nodes)
         self._count(report.node_id, nodes, now_s)
-        for spent in report.spent:
+        for spent in report.usage:
             bucket = self._bucket(spent.account, now_s)
             if bucket is not None:
                 bucket.level -= spent.count
         # What matters most first, whatever the order of the questions.
-        wanted = sorted(report.wanted, key=lambda asked: asked.rank)
+        wanted = sorted(report.requests, key=lambda asked: asked.rank)
         granted = tuple(
             self._grant(asked, report.node_id, now_s) for asked in wanted
         )
--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -81,13 +81,13 @@
 
     Attributes:
         node_id: The node.
-        spent: What it admitted.
-        wanted: What it asks for.
+        usage: What it admitted.
+        requests: What it asks for.
     """
 
     node_id: str
-    spent: tuple[Usage, ...] = ()
-    wanted: tuple[TokenRequest, ...] = ()
+    usage: tuple[Usage, ...] = ()
+    requests: tuple[TokenRequest, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
