--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -223,7 +223,7 @@
         dealt: quotas.Allocation,
         waiting: dict[tuple[str, int], list[asyncio.Future[float]]],
     ) -> None:
-        for granted in dealt.granted:
+        for granted in dealt.grants:
             answers = waiting.pop((granted.account, granted.rank), [])
             left = granted.count
             for answer in answers:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -51,7 +51,7 @@
     return {
         "g": [
             [granted.account, granted.rank, granted.count, granted.wait_s]
-            for granted in dealt.granted
+            for granted in dealt.grants
         ],
         "c": sorted(dealt.scarce),
     }
--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -97,7 +97,7 @@
         }
         self._trusted_until_s = now_s + ALLOCATION_TTL_S
         self.scarce = dealt.scarce
-        for granted in dealt.granted:
+        for granted in dealt.grants:
             if granted.wait_s > MAX_TOKEN_WAIT_S and granted.count == 0:
                 until_s = now_s + min(_LONGEST_REFUSAL_S, granted.wait_s)
                 self._refused[granted.account, granted.rank] = _Refused(
--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -112,11 +112,11 @@
     """A keeper's answer to a report.
 
     Attributes:
-        granted: Answers to what was wanted.
+        grants: Answers to what was wanted.
         scarce: Accounts whose requests need tokens from now on.
     """
 
-    granted: tuple[TokenGrant, ...] = ()
+    grants: tuple[TokenGrant, ...] = ()
     scarce: frozenset[str] = frozenset()
 
 
--- a/tests/properties/test_quotas.py
+++ b/tests/properties/test_quotas.py
@@ -162,7 +162,7 @@
         dealt = node.keeper.on_report(
             quotas.Report("n0", (), asked), 1, tenth / 10.0
         )
-        for answer in dealt.granted:
+        for answer in dealt.grants:
             granted[answer.rank] += answer.count
     assert granted[0] >= 90
     assert granted[0] > 5 * granted[2]
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -174,7 +174,7 @@
     def _ask(self, node: _Node) -> float:
         """Returns 0 with a token, or when there will be one."""
         dealt = self._report(node, (quotas.TokenRequest(ACCOUNT, 0, 1),))
-        granted = dealt.granted[0]
+        granted = dealt.grants[0]
         return 0.0 if granted.count else granted.wait_s
 
     def _report(
