--- a/packages/burdockfront/src/burdockfront/quota_allocator.py
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -150,7 +150,7 @@
         depth = limit.depth * self._share
         gained = limit.rate_per_s * self._share * (now_s - bucket.at_s)
         if self._share > bucket.begun:
-            gained += limit.first * (self._share - bucket.begun)
+            gained += limit.initial * (self._share - bucket.begun)
             bucket.begun = self._share
         bucket.level = min(depth, bucket.level + gained)
         bucket.at_s = now_s
--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -30,13 +30,13 @@
     Attributes:
         rate_per_s: Requests a second.
         depth: Requests on top, once.
-        first: Requests that may be spent before it is known what was spent
+        initial: Requests that may be spent before it is known what was spent
             lately: by each new keeper.
     """
 
     rate_per_s: float
     depth: float
-    first: float = 0.0
+    initial: float = 0.0
 
 
 class Limits(Protocol):
