--- a/packages/burdockfront/src/burdockfront/quotas.py
+++ b/packages/burdockfront/src/burdockfront/quotas.py
@@ -1,19 +1,19 @@
-"""What client accounts may spend, over all nodes together.
-
-Each node counts what it admits, and reports it every half second to one node
-that all of them choose alike, the keeper. The keeper holds one token bucket an
-account. While a bucket is well filled, nodes admit by themselves: a request
-costs no question. An account that nears its limit is named in the answers to
-reports, and from then on its requests are admitted one by one with tokens of
-the keeper.
-
-No agreement on the keeper is needed. A keeper deals only as much of a quota as
-the share of nodes that report to it: where nodes are cut off from each other,
-or choose different keepers for a while, the shares of all keepers together are
-no more than the whole, but for a second in which a node turns to another one.
-A new keeper does not know what was spent before, so its buckets begin with no
-more than operators bear beyond a limit. The ways weighed stand in
-docs/design/quotas.md.
+"""Quotas of client accounts, enforced over all nodes together.
+
+Each node counts the requests that it admits and reports the counts every half
+second to one node, the allocator, which all nodes select by the same rule. The
+allocator holds one token bucket per account. While a bucket is well filled,
+nodes admit requests locally, without a message per request. Accounts close to
+their limit are listed in the replies to reports; from then on each of their
+requests needs a token from the allocator.
+
+Nodes need not agree on the allocator. An allocator hands out only the fraction
+of a quota that matches the fraction of nodes reporting to it. While nodes are
+partitioned, or select different allocators for a while, the fractions of all
+allocators add up to at most the whole quota, except for one second after a node
+switches to another allocator. A new allocator does not know the earlier usage,
+so its buckets start with no more than the overshoot that operators tolerate.
+docs/design/quotas.md compares the alternatives.
 """
 
 import dataclasses
@@ -25,13 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limit:
-    """What an account may spend.
+    """Quota of an account, as parameters of a token bucket.
 
     Attributes:
         rate_per_s: Requests a second.
-        depth: Requests on top, once.
-        initial: Requests that may be spent before it is known what was spent
-            lately: by each new keeper.
+        depth: Burst on top of the rate.
+        initial: Tokens that each new allocator may hand out before it knows
+            the recent usage.
     """
 
     rate_per_s: float
@@ -40,20 +40,20 @@
 
 
 class Limits(Protocol):
-    """The limits in force."""
+    """The limits in effect."""
 
     def limit_of(self, account: str) -> Limit | None:
-        """Returns the limit of an account; None without one."""
+        """Returns the limit of an account; None if it has none."""
 
     def is_new(self, account: str, now_s: float) -> bool:
-        """Whether an account had no limit until a moment ago."""
+        """Whether an account got its limit only a moment ago."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """Requests that a node admitted by itself since its last report.
+    """Requests that a node admitted locally since its last report.
 
-    Fewer than none if tokens were given back.
+    The count is negative if more tokens were returned than used.
     """
 
     account: str
@@ -65,9 +65,9 @@
     """Requests that wait at a node for tokens.
 
     Attributes:
-        account: Whose they are.
-        rank: How much they matter; 0 most.
-        count: How many.
+        account: Account of the requests.
+        rank: Their rank; 0 is the most important.
+        count: Number of waiting requests.
     """
 
     account: str
@@ -77,12 +77,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What a node tells its keeper.
+    """Report of a node to its allocator.
 
     Attributes:
-        node_id: The node.
-        usage: What it admitted.
-        requests: What it asks for.
+        node_id: The reporting node.
+        usage: Requests that it admitted.
+        requests: Tokens that it asks for.
     """
 
     node_id: str
@@ -95,10 +95,10 @@
     """The answer to a `TokenRequest`.
 
     Attributes:
-        account: Whose tokens.
-        rank: As in the question.
-        count: How many of the requests are admitted.
-        wait_s: When there will be a token for one more.
+        account: Account of the tokens.
+        rank: Rank of the answered request.
+        count: Number of waiting requests that are admitted.
+        wait_s: Time until one more token is available.
     """
 
     account: str
@@ -109,10 +109,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Allocation:
-    """A keeper's answer to a report.
+    """An allocator's reply to a report.
 
     Attributes:
-        grants: Answers to what was wanted.
+        grants: Answers to the token requests.
         scarce: Accounts whose requests need tokens from now on.
     """
 
@@ -121,10 +121,10 @@
 
 
 def max_unreported(limit: Limit, nodes: int) -> int:
-    """Returns how much a node may admit before its report is answered.
+    """Returns how many requests a node may admit before its report is answered.
 
-    All nodes together no more than half of what the bucket holds, nor than
-    comes in within the time of two reports, where that allows each of them one.
+    All nodes together may admit half of the bucket's depth, or the refill of
+    two report intervals, whichever is less, but each node at least one request.
     """
-    blind = min(limit.depth / 2, limit.rate_per_s * _TWO_REPORTS_S)
-    return max(1, int(blind / max(1, nodes)))
+    total = min(limit.depth / 2, limit.rate_per_s * _TWO_REPORTS_S)
+    return max(1, int(total / max(1, nodes)))
