--- a/packages/burdockfront/src/burdockfront/quota_allocator.py
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -1,130 +1,142 @@
-"""Deals what client accounts may spend; see `quotas`."""
+"""Allocates client account quotas to nodes; see `quotas`."""
 
 import dataclasses
 
 from burdockfront import quotas
 
-# Nodes report twice a second. One that turns to another keeper counts at both
-# for this long.
-_REPORTS_FOR_S = 1.0
-# Below so much its account needs tokens, above the second no longer: of a
-# bucket, or what comes in so many seconds, whichever is less; but not less than
-# what all nodes may admit unasked before they hear of it.
+# Nodes report twice a second. A node that switches to another allocator counts
+# at both for this long.
+_REPORT_TTL_S = 1.0
+# An account is scarce, so its requests need tokens, below the first thresholds,
+# and no longer above the second. Each threshold is a fraction of the bucket's
+# depth or the refill of so many seconds, whichever is less. The refill
+# thresholds are at least what all nodes may admit locally before they learn
+# that the account is scarce.
 _SCARCE_BELOW = 0.5
 _SCARCE_BELOW_S = 1.0
 _AMPLE_ABOVE = 0.75
 _AMPLE_ABOVE_S = 1.5
-# How often those are counted who report.
-_COUNT_EVERY_S = 0.1
-# So much of a bucket at most is held back for what nodes admit unasked that
-# have not heard yet that the account is scarce.
-_HELD_BACK = 0.1
-# What comes in so many seconds, and so many requests at least, is kept for each
-# rank that matters more, up to so many ranks. Little is enough: requests that
-# matter more and ask for all that comes in keep the level below it.
+# Interval between counts of the reporting nodes.
+_COUNT_INTERVAL_S = 0.1
+# Maximum fraction of a bucket's depth that is held back for requests that nodes
+# admit locally because they have not learned yet that the account is scarce.
+_MAX_HELD_BACK = 0.1
+# Tokens kept for each more important rank: the refill of this many seconds, at
+# least _MIN_RESERVE, for at most _MAX_RESERVE_RANKS ranks. A small reserve is
+# enough: more important requests that ask for the whole refill keep the level
+# below it.
 _RESERVE_S = 0.05
-_LEAST_RESERVE = 0.5
-_RANKS_APART = 2
-# So long without any report, and others deal in this node's place.
+_MIN_RESERVE = 0.5
+_MAX_RESERVE_RANKS = 2
+# After this long without any report, other nodes allocate in this node's place.
 _TERM_S = 3.0
-_LEAST_SHARE = 1e-6
+_MIN_RATE_PER_S = 1e-6
 
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
+    """Token bucket of an account.
+
+    Attributes:
+        level: Tokens at `at_s`.
+        at_s: Monotonic time up to which the bucket is filled.
+        scarce_since_s: Monotonic time since which the account is scarce.
+        initial_share: Fraction of `Limit.initial` already added to the level.
+    """
+
     level: float
     at_s: float
     scarce_since_s: float
-    # The share of what may be dealt blindly that is in the level already.
-    begun: float = 0.0
+    initial_share: float = 0.0
 
 
 class QuotaAllocator:
-    """The buckets at one node, for those who report to it.
+    """Token buckets at one node, for the nodes that report to it.
 
     Args:
-        limits: The limits in force.
+        limits: The limits in effect.
     """
 
     def __init__(self, limits: quotas.Limits):
         self._limits = limits
         self._buckets: dict[str, _Bucket] = {}
         self._scarce: set[str] = set()
-        self._heard_at_s: dict[str, float] = {}
+        self._last_report_s: dict[str, float] = {}
         self._counted_at_s = float("-inf")
         self._share = 1.0
-        self._began_s = 0.0
-        self._reported_nodes = 1
+        self._term_start_s = 0.0
+        self._nodes = 1
         self._reported_at_s = float("-inf")
 
     @property
     def reporters(self) -> int:
-        """Nodes that reported here lately."""
-        return len(self._heard_at_s)
+        """Number of nodes that reported to this node recently."""
+        return len(self._last_report_s)
 
     @property
     def share(self) -> float:
-        """The share of each quota that is dealt here."""
+        """Fraction of each quota that is allocated here."""
         return self._share
 
     def level_of(self, account: str) -> float:
-        """Returns the tokens of an account when they were last looked at."""
+        """Returns the tokens of an account when its bucket was last filled."""
         bucket = self._buckets.get(account)
         return bucket.level if bucket is not None else 0.0
 
     def on_report(
         self, report: quotas.Report, nodes: int, now_s: float
     ) -> quotas.Allocation:
-        """Takes a report, and returns the answer.
+        """Handles a report and returns the reply.
 
         Args:
-            report: What a node tells.
-            nodes: Nodes that may admit requests anywhere, also those that
-                can't be reached now.
+            report: The report of a node.
+            nodes: Number of nodes that may admit requests anywhere, including
+                those that are unreachable now.
             now_s: Monotonic time.
         """
-        self._begin_term(now_s)
-        self._reported_nodes = max(1, nodes)
-        self._count(report.node_id, nodes, now_s)
-        for spent in report.usage:
-            bucket = self._bucket(spent.account, now_s)
+        self._renew_term(now_s)
+        self._nodes = max(1, nodes)
+        self._count_reporters(report.node_id, nodes, now_s)
+        for usage in report.usage:
+            bucket = self._bucket(usage.account, now_s)
             if bucket is not None:
-                bucket.level -= spent.count
-        # What matters most first, whatever the order of the questions.
-        wanted = sorted(report.requests, key=lambda asked: asked.rank)
-        granted = tuple(
-            self._grant(asked, report.node_id, now_s) for asked in wanted
+                bucket.level -= usage.count
+        # The most important first, whatever their order in the report.
+        requests = sorted(report.requests, key=lambda request: request.rank)
+        grants = tuple(
+            self._grant(request, report.node_id, now_s) for request in requests
         )
         for account in list(self._scarce):
             self._bucket(account, now_s)
-        return quotas.Allocation(granted, frozenset(self._scarce))
+        return quotas.Allocation(grants, frozenset(self._scarce))
 
-    def _begin_term(self, now_s: float) -> None:
-        """Forgets buckets in whose place others have dealt meanwhile."""
+    def _renew_term(self, now_s: float) -> None:
+        """Drops all buckets if other nodes have allocated in the meantime."""
         if now_s - self._reported_at_s > _TERM_S:
             self._buckets.clear()
             self._scarce.clear()
-            self._heard_at_s.clear()
-            self._began_s = now_s
+            self._last_report_s.clear()
+            self._term_start_s = now_s
         self._reported_at_s = now_s
 
-    def _count(self, node_id: str, nodes: int, now_s: float) -> None:
-        known = len(self._heard_at_s)
-        self._heard_at_s[node_id] = now_s
-        due = now_s - self._counted_at_s > _COUNT_EVERY_S
-        if known == len(self._heard_at_s) and not due:
+    def _count_reporters(self, node_id: str, nodes: int, now_s: float) -> None:
+        """Counts the reporting nodes and updates the share."""
+        known = len(self._last_report_s)
+        self._last_report_s[node_id] = now_s
+        due = now_s - self._counted_at_s > _COUNT_INTERVAL_S
+        if known == len(self._last_report_s) and not due:
             return
         self._counted_at_s = now_s
-        oldest_s = now_s - _REPORTS_FOR_S
-        self._heard_at_s = {
+        oldest_s = now_s - _REPORT_TTL_S
+        self._last_report_s = {
             name: at_s
-            for name, at_s in self._heard_at_s.items()
+            for name, at_s in self._last_report_s.items()
             if at_s >= oldest_s
         }
-        heard = len(self._heard_at_s)
-        share = min(1.0, heard / max(1, nodes))
+        count = len(self._last_report_s)
+        share = min(1.0, count / max(1, nodes))
         if share != self._share:
-            # What came in until now came at the share of until now.
+            # The refill up to now is at the old share.
             self._fill_all(now_s)
             self._share = share
             self._fill_all(now_s)
@@ -134,7 +146,7 @@
             self._bucket(account, now_s)
 
     def _bucket(self, account: str, now_s: float) -> _Bucket | None:
-        """Returns an account's bucket, filled up to now; None: no limit."""
+        """Returns an account's bucket, filled up to now; None without limit."""
         limit = self._limits.limit_of(account)
         if limit is None:
             self._buckets.pop(account, None)
@@ -142,24 +154,24 @@
             return None
         bucket = self._buckets.get(account)
         if bucket is None:
-            bucket = self._buckets[account] = _Bucket(0.0, self._began_s, now_s)
+            bucket = self._buckets[account] = _Bucket(
+                0.0, self._term_start_s, now_s
+            )
             self._scarce.add(account)
             if self._limits.is_new(account, now_s):
-                # Nothing was spent of it before.
+                # No tokens of a new limit can have been used elsewhere.
                 bucket.level = limit.depth
         depth = limit.depth * self._share
         gained = limit.rate_per_s * self._share * (now_s - bucket.at_s)
-        if self._share > bucket.begun:
-            gained += limit.initial * (self._share - bucket.begun)
-            bucket.begun = self._share
+        if self._share > bucket.initial_share:
+            gained += limit.initial * (self._share - bucket.initial_share)
+            bucket.initial_share = self._share
         bucket.level = min(depth, bucket.level + gained)
         bucket.at_s = now_s
         rate = limit.rate_per_s * self._share
-        blind = self._reported_nodes * quotas.max_unreported(
-            limit, self._reported_nodes
-        )
-        scarce_below = max(_SCARCE_BELOW_S * rate, blind)
-        ample_above = max(_AMPLE_ABOVE_S * rate, blind + 1)
+        unreported = self._nodes * quotas.max_unreported(limit, self._nodes)
+        scarce_below = max(_SCARCE_BELOW_S * rate, unreported)
+        ample_above = max(_AMPLE_ABOVE_S * rate, unreported + 1)
         if bucket.level < min(_SCARCE_BELOW * depth, scarce_below):
             if account not in self._scarce:
                 bucket.scarce_since_s = now_s
@@ -169,48 +181,51 @@
         return bucket
 
     def _grant(
-        self, asked: quotas.TokenRequest, node_id: str, now_s: float
+        self, request: quotas.TokenRequest, node_id: str, now_s: float
     ) -> quotas.TokenGrant:
-        bucket = self._bucket(asked.account, now_s)
-        limit = self._limits.limit_of(asked.account)
+        bucket = self._bucket(request.account, now_s)
+        limit = self._limits.limit_of(request.account)
         if bucket is None or limit is None:
             return quotas.TokenGrant(
-                asked.account, asked.rank, asked.count, 0.0
+                request.account, request.rank, request.count, 0.0
             )
-        reserve = _reserve_of(asked.rank, limit) * self._share
-        held_back = self._held_back(asked.account, bucket, limit, node_id)
+        reserve = _reserve_of(request.rank, limit) * self._share
+        held_back = self._held_back(request.account, bucket, limit, node_id)
         free = max(0, int(bucket.level - reserve - held_back))
-        count = min(asked.count, free)
+        count = min(request.count, free)
         bucket.level -= count
         missing = 1.0 + reserve + held_back - bucket.level
-        rate = max(_LEAST_SHARE, limit.rate_per_s * self._share)
+        rate = max(_MIN_RATE_PER_S, limit.rate_per_s * self._share)
         wait_s = max(0.0, missing / rate)
-        return quotas.TokenGrant(asked.account, asked.rank, count, wait_s)
+        return quotas.TokenGrant(request.account, request.rank, count, wait_s)
 
     def _held_back(
         self, account: str, bucket: _Bucket, limit: quotas.Limit, node_id: str
     ) -> float:
-        """Returns what nodes may have admitted that is not reported yet.
+        """Returns tokens for requests that nodes may have admitted unreported.
 
         Args:
-            account: Whose tokens are asked for.
-            bucket: Its tokens.
+            account: Account of the requested tokens.
+            bucket: Its bucket.
             limit: Its limit.
-            node_id: Who asks, and has just reported.
+            node_id: The requesting node, which has just reported.
         """
         since_s = float("inf")
         if account in self._scarce:
             since_s = bucket.scarce_since_s
-        if bucket.at_s - since_s > _REPORTS_FOR_S:
+        if bucket.at_s - since_s > _REPORT_TTL_S:
             return 0.0
         unaware = sum(
             at_s < since_s and name != node_id
-            for name, at_s in self._heard_at_s.items()
+            for name, at_s in self._last_report_s.items()
         )
-        each = quotas.max_unreported(limit, self._reported_nodes)
-        return min(unaware * each, limit.depth * _HELD_BACK)
+        per_node = quotas.max_unreported(limit, self._nodes)
+        return min(unaware * per_node, limit.depth * _MAX_HELD_BACK)
 
 
 def _reserve_of(rank: int, limit: quotas.Limit) -> float:
-    each = max(_LEAST_RESERVE, limit.rate_per_s * _RESERVE_S)
-    return min(rank, _RANKS_APART) * min(each, limit.depth / _RANKS_APART / 2)
+    """Returns the tokens that are kept for ranks more important than `rank`."""
+    per_rank = max(_MIN_RESERVE, limit.rate_per_s * _RESERVE_S)
+    return min(rank, _MAX_RESERVE_RANKS) * min(
+        per_rank, limit.depth / _MAX_RESERVE_RANKS / 2
+    )
