--- a/packages/burdockfront/src/burdockfront/local_quotas.py
+++ b/packages/burdockfront/src/burdockfront/local_quotas.py
@@ -1,140 +1,156 @@
-"""What one node admits of client accounts' requests; see `quotas`."""
+"""Admits requests of client accounts at one node; see `quotas`."""
 
 import dataclasses
 import random
 
 from burdockfront import quotas
 
-# Without an answer of a keeper for so long, nothing is admitted unasked: the
-# account may be spent elsewhere. Long enough to ask another keeper in place of
+# An allocation older than this is stale, and nothing is admitted locally: the
+# quota may be used elsewhere. Long enough to ask another allocator in place of
 # one that was lost.
 ALLOCATION_TTL_S = 1.5
-# After a refusal an account's requests are refused without another question
-# until there is a token, but not for longer than this: limits may be raised.
-_LONGEST_REFUSAL_S = 0.5
-# For a token that comes so soon a request waits in place of being refused.
+# After a refusal, requests of the account are refused locally until a token is
+# available, but no longer than this, because limits may be raised.
+_MAX_REFUSAL_S = 0.5
+# A request waits for a token that is available within this time instead of
+# being refused.
 MAX_TOKEN_WAIT_S = 0.1
-# Callers return between once and so many times the time until then, or they
-# would all come back in one moment.
-_SPREAD = 2.0
-_LEAST_RETRY_S = 0.1
-_MOST_RETRY_S = 5.0
+# Callers retry after once to this many times the time until a token is
+# available. Otherwise they would all retry at the same moment.
+_MAX_SPREAD = 2.0
+_MIN_RETRY_S = 0.1
+_MAX_RETRY_S = 5.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Refused:
+class _Refusal:
+    """Refusal of an account's requests of one rank.
+
+    Attributes:
+        until_s: Monotonic time until which requests are refused locally.
+        wait_s: Time until a token is available.
+    """
+
     until_s: float
     wait_s: float
 
 
 class LocalQuotas:
-    """Counts and decides at one node.
+    """Counts and admits requests at one node.
 
     Args:
-        limits: The limits in force.
+        limits: The limits in effect.
         rng: Source of randomness.
+
+    Attributes:
+        scarce: Accounts whose requests need tokens.
+        nodes: Number of nodes that may admit requests.
     """
 
     def __init__(self, limits: quotas.Limits, rng: random.Random):
         self._limits = limits
         self._rng = rng
-        self._spent: dict[str, int] = {}
-        # What may be spent before the next answer; accounts that nothing was
-        # spent of since the last one are missing.
+        self._usage: dict[str, int] = {}
+        # Requests that may be admitted before the next allocation. Accounts
+        # without usage since the last allocation are missing.
         self._left: dict[str, int] = {}
-        self._refused: dict[tuple[str, int], _Refused] = {}
-        self._trusted_until_s = float("-inf")
+        self._refusals: dict[tuple[str, int], _Refusal] = {}
+        self._fresh_until_s = float("-inf")
         self.scarce: frozenset[str] = frozenset()
         self.nodes = 1
 
     def admit(self, account: str, rank: int, now_s: float) -> float | None:
-        """Spends one request if that can be decided here.
+        """Admits or refuses one request if that can be decided locally.
 
         Args:
-            account: Whose it is.
-            rank: How much it matters; 0 most.
+            account: Account of the request.
+            rank: Rank of the request; 0 is the most important.
             now_s: Monotonic time.
 
         Returns:
-            0 if it is admitted; when to come back if it is refused; None if
-            the keeper has to be asked.
+            0 if it is admitted; the time to retry after if it is refused; None
+            if the allocator has to be asked.
         """
-        if self._refused:
-            refused_s = self._refused_s(account, rank, now_s)
-            if refused_s:
-                return refused_s
-        if account in self.scarce or now_s > self._trusted_until_s:
+        if self._refusals:
+            retry_s = self._refused_s(account, rank, now_s)
+            if retry_s:
+                return retry_s
+        if account in self.scarce or now_s > self._fresh_until_s:
             return None
         left = self._left.get(account)
         if left is None:
-            left = self._may_spend(account)
+            left = self._max_unreported(account)
         if left <= 0:
             return None
         self._left[account] = left - 1
-        self._spent[account] = self._spent.get(account, 0) + 1
+        self._usage[account] = self._usage.get(account, 0) + 1
         return 0.0
 
     def give_back(self, account: str) -> None:
-        """Takes back a request that was admitted, and ran nowhere."""
-        self._spent[account] = self._spent.get(account, 0) - 1
+        """Returns the token of a request that was admitted but ran nowhere."""
+        self._usage[account] = self._usage.get(account, 0) - 1
 
     def report(self) -> tuple[quotas.Usage, ...]:
-        """Returns what was admitted since the last report."""
-        found = tuple(
+        """Returns and resets the usage since the last report."""
+        usage = tuple(
             quotas.Usage(account, count)
-            for account, count in self._spent.items()
+            for account, count in self._usage.items()
             if count
         )
-        self._spent.clear()
-        return found
-
-    def on_allocation(self, dealt: quotas.Allocation, now_s: float) -> None:
-        """Takes a keeper's answer to the last report."""
-        # What was spent while the report was under way is still unreported.
+        self._usage.clear()
+        return usage
+
+    def on_allocation(
+        self, allocation: quotas.Allocation, now_s: float
+    ) -> None:
+        """Applies an allocator's reply to the last report."""
+        # Usage while the report was in flight is still unreported.
         self._left = {
-            account: self._may_spend(account) - count
-            for account, count in self._spent.items()
+            account: self._max_unreported(account) - count
+            for account, count in self._usage.items()
         }
-        self._trusted_until_s = now_s + ALLOCATION_TTL_S
-        self.scarce = dealt.scarce
-        for granted in dealt.grants:
-            if granted.wait_s > MAX_TOKEN_WAIT_S and granted.count == 0:
-                until_s = now_s + min(_LONGEST_REFUSAL_S, granted.wait_s)
-                self._refused[granted.account, granted.rank] = _Refused(
-                    until_s, granted.wait_s
+        self._fresh_until_s = now_s + ALLOCATION_TTL_S
+        self.scarce = allocation.scarce
+        for grant in allocation.grants:
+            if grant.wait_s > MAX_TOKEN_WAIT_S and grant.count == 0:
+                until_s = now_s + min(_MAX_REFUSAL_S, grant.wait_s)
+                self._refusals[grant.account, grant.rank] = _Refusal(
+                    until_s, grant.wait_s
                 )
 
-    def on_report_failure(self, spent: tuple[quotas.Usage, ...]) -> None:
-        """Takes back a report that no keeper answered.
+    def on_report_failure(self, usage: tuple[quotas.Usage, ...]) -> None:
+        """Restores the usage of a report that no allocator answered.
 
-        It may have been counted: to count it twice refuses some requests, not
-        to count it at all would admit some too many.
+        The report may have been counted. Counting it twice refuses some
+        requests; not counting it at all would admit too many.
         """
-        for entry in spent:
-            known = self._spent.get(entry.account, 0)
-            self._spent[entry.account] = known + entry.count
+        for entry in usage:
+            known = self._usage.get(entry.account, 0)
+            self._usage[entry.account] = known + entry.count
 
     def retry_after_s(self, wait_s: float) -> float:
-        """Returns when a caller is to come back.
+        """Returns the time after which a refused caller should retry.
 
         Args:
-            wait_s: When there will be a token.
+            wait_s: Time until a token is available.
         """
-        spread_s = max(_LEAST_RETRY_S, wait_s) * self._rng.uniform(1.0, _SPREAD)
-        return min(_MOST_RETRY_S, spread_s)
+        spread_s = max(_MIN_RETRY_S, wait_s) * self._rng.uniform(
+            1.0, _MAX_SPREAD
+        )
+        return min(_MAX_RETRY_S, spread_s)
 
-    def _may_spend(self, account: str) -> int:
+    def _max_unreported(self, account: str) -> int:
         limit = self._limits.limit_of(account)
         if limit is None:
             return 0
         return quotas.max_unreported(limit, self.nodes)
 
     def _refused_s(self, account: str, rank: int, now_s: float) -> float:
-        """Returns when to come back, if there is no token for certain."""
-        refused = self._refused.get((account, rank))
-        if refused is None:
+        """Returns when to retry if a refusal still applies, otherwise 0."""
+        refusal = self._refusals.get((account, rank))
+        if refusal is None:
             return 0.0
-        if now_s < refused.until_s:
-            return self.retry_after_s(refused.wait_s)
-        del self._refused[account, rank]
+        if now_s < refusal.until_s:
+            return self.retry_after_s(refusal.wait_s)
+        del self._refusals[account, rank]
         return 0.0
