--- a/packages/burdockfront/src/burdockfront/crashes.py
+++ b/packages/burdockfront/src/burdockfront/crashes.py
@@ -1,30 +1,32 @@
-"""Which requests were at backend servers that crashed, and what follows.
-
-One request may crash every server that runs it. Its caller repeats it under
-other ids and at other nodes, so all bounds that are kept for an id (retries,
-servers for one attempt) begin anew with each repeat, and a service is down for
-as long as the caller goes on. Here crashes are counted by what a request asks
-for, over all nodes:
-
-| crashes since it was last answered | its repeats                            |
-|------------------------------------|----------------------------------------|
-| 0                                  | run as ever                            |
-| 1                                  | run, but no two suspects at one server |
-| 2                                  | are refused for some seconds, then as 1 |
-| 3 and more                         | are refused                            |
-
-Crashes count for the client account that asked: what crashes servers from one
-may be answered to another. Where no single account was at all of them they
-count for everybody, since then it is the request itself.
-
-All that was at a server is suspected of its crash, so most suspects are
-innocent. Run one at a time, the next crash has one suspect of the last crash
-among it, not all of them; an innocent one is answered, and thereby acquitted.
-
-Crashes and acquittals are entries of a table that nodes exchange. Each is
-written once, by the node beside the server (more suspects only raise the
-version), so merging them in any order, any number of times, is the same; and
-each is forgotten everywhere when it is of a certain age.
+"""Tracks requests that were in flight at backend servers that crashed.
+
+A single request may crash every server that runs it. Its caller repeats it
+under other ids and at other nodes, so all bounds that are kept per id (retries,
+servers per attempt) start over with each repeat, and a service stays down for
+as long as the caller retries. Crashes are therefore counted by the content of a
+request, over all nodes:
+
+| crashes since its last answer | its repeats                                |
+|-------------------------------|--------------------------------------------|
+| 0                             | run as usual                               |
+| 1                             | run, but one suspect at a time per server  |
+| 2                             | are refused for some seconds, then as 1    |
+| 3 and more                    | are refused                                |
+
+Crashes count for the client account that sent the request: a request that
+crashes servers for one account may be answered for another. If no single
+account was involved in all of the crashes, they count for every account,
+because the request itself is then the cause.
+
+Every request in flight at a server is suspected of its crash, so most suspects
+are innocent. Because suspects run one at a time, the next crash involves only
+one suspect of the previous crash; an innocent suspect is answered, and thereby
+acquitted.
+
+Crashes and acquittals are entries of a table that nodes exchange. Each entry is
+written once, by the node beside the server (further suspects only raise its
+version), so merging entries is commutative and idempotent. All nodes remove an
+entry at the same age.
 """
 
 import dataclasses
@@ -35,12 +37,12 @@
 from burdockfront import tables
 
 _MS_PER_S = 1000
-# More crashes and acquittals than that are no work of single requests.
-_MOST_ENTRIES = 4096
-_DROPPED_AT_ONCE = 512
+# More crashes and acquittals than this are not caused by single requests.
+_MAX_ENTRIES = 4096
+_EVICTION_BATCH = 512
 _CRASH = "crash"
 _ACQUITTAL = "acquittal"
-# Between service and account; in the name of neither.
+# Separates service and account; neither name contains it.
 _SEPARATOR = " "
 
 
@@ -49,13 +51,14 @@
     """How long repeats of a suspect are refused.
 
     Attributes:
-        crashes: After so many it is refused as long as they are remembered.
-        pause_s: After one crash less it is refused for this long: a server
-            that crashed is back by then, so a service of three servers does
-            not lose the third while the others are away.
-        remember_s: How long a crash counts. A request that never crashes
-            more than two servers in this time is not worth more trouble; one
-            that was mended is served again after it.
+        crashes: Number of crashes after which a suspect is refused until
+            crashes expire.
+        pause_s: Time for which a suspect is refused after one crash less. A
+            crashed server has restarted by then, so a service of three
+            servers does not lose the third while the other two are down.
+        remember_s: Time for which a crash counts. Requests that crash no more
+            than two servers in this time need no further measures. A request
+            that no longer crashes servers is served again after it.
     """
 
     crashes: int = 3
@@ -65,13 +68,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspect:
-    """What was at a server when it crashed.
+    """A request that was in flight at a server when it crashed.
 
     Attributes:
-        fingerprint: What was asked for; see `fingerprints`.
-        caller: Service beside which it entered; empty if that is not known.
-        account: Client account that asked; empty for calls, and where there
-            are no accounts.
+        fingerprint: Digest of the request's content; see `fingerprints`.
+        caller: Service at whose node the request entered; empty if unknown.
+        account: Client account that sent it; empty for calls by backend
+            servers, and if there are no accounts.
     """
 
     fingerprint: str
@@ -80,7 +83,7 @@
 
     @property
     def source(self) -> str:
-        """Whence it came, as it travels."""
+        """Caller and account, as encoded in table entries."""
         if not self.account:
             return self.caller
         return f"{self.caller}{_SEPARATOR}{self.account}"
@@ -92,7 +95,7 @@
 
 
 class Standing(enum.Enum):
-    """How a request is to be treated."""
+    """How a request is handled."""
 
     CLEAR = "clear"
     ALONE = "alone"
@@ -105,8 +108,8 @@
     """The standing of a request.
 
     Attributes:
-        standing: How it is to be treated.
-        refused_s: How much longer it is refused; 0 if it is not.
+        standing: How the request is handled.
+        refused_s: Remaining time for which it is refused; 0 if it is not.
     """
 
     standing: Standing
@@ -119,30 +122,31 @@
 
 @dataclasses.dataclass(slots=True)
 class _Record:
-    """What counts against a request.
+    """The crashes that count against a request.
 
     Attributes:
-        sources_of: By crash, the sources whose copies were at the server and
-            were not answered since.
-        heard_at_s: Monotonic time at which the last crash was heard of.
+        sources_of: By crash id, the sources whose copies of the request were
+            at the server and have not been answered since.
+        updated_at_s: Monotonic time at which this node learned of the latest
+            crash.
     """
 
     sources_of: dict[str, set[str]] = dataclasses.field(default_factory=dict)
-    heard_at_s: float = 0.0
+    updated_at_s: float = 0.0
 
     def count_for(self, account: str) -> int:
-        """Returns how many crashes count for requests of an account."""
-        found = [
+        """Returns the number of crashes that count for an account."""
+        account_sets = [
             {_suspect_of("", source).account for source in sources}
             for sources in self.sources_of.values()
         ]
-        if not set.intersection(*found):
-            return len(found)
-        return sum(account in accounts for accounts in found)
+        if not set.intersection(*account_sets):
+            return len(account_sets)
+        return sum(account in accounts for accounts in account_sets)
 
 
 class CrashTracker:
-    """The crashes that one node knows of.
+    """Tracks the crashes that one node knows of.
 
     Args:
         rules: How long repeats of a suspect are refused.
@@ -161,12 +165,12 @@
 
     @property
     def suspects(self) -> int:
-        """Requests that at least one crash counts against."""
+        """Number of requests that at least one crash counts against."""
         return len(self._records)
 
     @property
     def quarantined(self) -> list[str]:
-        """Fingerprints of requests that are refused until further notice."""
+        """Fingerprints of requests with enough crashes for quarantine."""
         return [
             fingerprint
             for fingerprint, record in self._records.items()
@@ -176,21 +180,21 @@
     def assess(
         self, suspect: Suspect, now_s: float, wall_s: float
     ) -> Assessment:
-        """Tells how a request is to be treated.
+        """Returns how a request is handled.
 
         Args:
-            suspect: What it asks for, and whence.
+            suspect: Content and source of the request.
             now_s: Monotonic time.
-            wall_s: Wall clock.
+            wall_s: Wall clock time.
         """
         record = self._records.get(suspect.fingerprint)
         if record is None:
             return _CLEAR
         count = record.count_for(suspect.account)
         if count >= self._rules.crashes:
-            refused_s = self._remembered_s(record, wall_s)
+            refused_s = self._quarantined_s(record, wall_s)
             return Assessment(Standing.QUARANTINED, refused_s)
-        paused_s = record.heard_at_s + self._rules.pause_s - now_s
+        paused_s = record.updated_at_s + self._rules.pause_s - now_s
         if count == self._rules.crashes - 1 and paused_s > 0.0:
             return Assessment(Standing.PAUSED, paused_s)
         return _ALONE
@@ -198,10 +202,10 @@
     def acquittals_of(
         self, suspect: Suspect, wall_s: float
     ) -> list[tables.Entry]:
-        """Returns entries that end what counts against an answered request.
+        """Returns entries that acquit an answered request.
 
-        Only for crashes that a copy of the same caller was at: a request that
-        a server bears from one caller may crash it from another.
+        They cover only crashes with a copy from the same source: a request
+        that a server answers for one caller may crash it for another.
         """
         record = self._records.get(suspect.fingerprint)
         if record is None:
@@ -213,7 +217,7 @@
         ]
 
     def release_of(self, fingerprint: str, wall_s: float) -> list[tables.Entry]:
-        """Returns entries that end all that counts against a request."""
+        """Returns entries that acquit a request of all crashes."""
         record = self._records.get(fingerprint)
         if record is None:
             return []
@@ -224,15 +228,15 @@
         ]
 
     def is_reported_by(self, fingerprint: str, boot_id: str) -> bool:
-        """Whether a process told of a crash that counts against a request."""
+        """Whether a process reported a crash that counts against a request."""
         record = self._records.get(fingerprint)
         if record is None:
             return False
-        mine = f"{boot_id}."
-        return any(crash.startswith(mine) for crash in record.sources_of)
+        prefix = f"{boot_id}."
+        return any(crash.startswith(prefix) for crash in record.sources_of)
 
     def crash_entries_of(self, fingerprint: str) -> list[tables.Entry]:
-        """Returns the crashes that count against a request, of it alone."""
+        """Returns the crashes of a request, without their other suspects."""
         record = self._records.get(fingerprint)
         if record is None:
             return []
@@ -246,56 +250,56 @@
         ]
 
     def merge(self, entry: tables.Entry, now_s: float, wall_s: float) -> bool:
-        """Takes an entry, from wherever it came.
+        """Merges an entry of this node, a peer or the store.
 
         Args:
             entry: A crash or an acquittal.
             now_s: Monotonic time.
-            wall_s: Wall clock.
+            wall_s: Wall clock time.
 
         Returns:
-            Whether it was news.
+            Whether the entry changed the table.
 
         Raises:
-            InvalidInputError: It is neither.
+            InvalidInputError: The entry is neither a crash nor an acquittal.
         """
-        note = _read(entry)
-        if note.at_s + self._rules.remember_s < wall_s:
-            # Forgotten here; a peer whose clock is behind still has it.
+        event = _decode(entry)
+        if event.at_s + self._rules.remember_s < wall_s:
+            # Expired here; a peer whose clock is behind still has it.
             return False
         if not self._table.merge(entry):
             return False
-        if note.acquits:
-            self._acquit(note)
+        if event.acquits:
+            self._acquit(event)
         else:
-            self._accuse(note, now_s)
-        self._drop_oldest()
+            self._add_suspects(event, now_s)
+        self._evict_oldest()
         return True
 
     def forget(self, wall_s: float) -> None:
-        """Forgets what is too old to count."""
+        """Removes entries that are too old to count."""
         for entry in self._table.entries():
-            if _read(entry).at_s + self._rules.remember_s < wall_s:
+            if _decode(entry).at_s + self._rules.remember_s < wall_s:
                 self._remove(entry)
 
-    def _accuse(self, note: "_Note", now_s: float) -> None:
-        acquitted = self._acquitted.get(note.crash_id, set())
-        for suspect in note.suspects:
+    def _add_suspects(self, event: "_Event", now_s: float) -> None:
+        acquitted = self._acquitted.get(event.crash_id, set())
+        for suspect in event.suspects:
             if suspect in acquitted:
                 continue
             record = self._records.setdefault(suspect.fingerprint, _Record())
-            if note.crash_id not in record.sources_of:
-                record.heard_at_s = now_s
-            sources = record.sources_of.setdefault(note.crash_id, set())
+            if event.crash_id not in record.sources_of:
+                record.updated_at_s = now_s
+            sources = record.sources_of.setdefault(event.crash_id, set())
             sources.add(suspect.source)
 
-    def _acquit(self, note: "_Note") -> None:
-        for suspect in note.suspects:
-            self._acquitted.setdefault(note.crash_id, set()).add(suspect)
-            self._strike(note.crash_id, suspect)
+    def _acquit(self, event: "_Event") -> None:
+        for suspect in event.suspects:
+            self._acquitted.setdefault(event.crash_id, set()).add(suspect)
+            self._remove_suspect(event.crash_id, suspect)
 
-    def _strike(self, crash_id: str, suspect: Suspect) -> None:
-        """Lets a crash no longer count against a request."""
+    def _remove_suspect(self, crash_id: str, suspect: Suspect) -> None:
+        """Stops counting a crash against a request."""
         record = self._records.get(suspect.fingerprint)
         if record is None or crash_id not in record.sources_of:
             return
@@ -306,64 +310,65 @@
             del self._records[suspect.fingerprint]
 
     def _remove(self, entry: tables.Entry) -> None:
-        note = _read(entry)
+        event = _decode(entry)
         self._table.remove(entry.key)
-        if note.acquits:
-            for suspect in note.suspects:
-                self._acquitted.get(note.crash_id, set()).discard(suspect)
-            if not self._acquitted.get(note.crash_id):
-                self._acquitted.pop(note.crash_id, None)
+        if event.acquits:
+            for suspect in event.suspects:
+                self._acquitted.get(event.crash_id, set()).discard(suspect)
+            if not self._acquitted.get(event.crash_id):
+                self._acquitted.pop(event.crash_id, None)
             return
-        for suspect in note.suspects:
-            self._strike(note.crash_id, suspect)
+        for suspect in event.suspects:
+            self._remove_suspect(event.crash_id, suspect)
 
-    def _drop_oldest(self) -> None:
-        if len(self._table) > _MOST_ENTRIES:
+    def _evict_oldest(self) -> None:
+        if len(self._table) > _MAX_ENTRIES:
             entries = self._table.entries()
-            entries.sort(key=lambda entry: _read(entry).at_s)
-            for entry in entries[:_DROPPED_AT_ONCE]:
+            entries.sort(key=lambda entry: _decode(entry).at_s)
+            for entry in entries[:_EVICTION_BATCH]:
                 self._remove(entry)
 
     def _at_s(self, crash_id: str) -> float:
         entry = self._table.get(_crash_key(crash_id))
-        assert entry is not None, "what counts is in the table"
-        return _read(entry).at_s
+        assert entry is not None, "crashes that count are in the table"
+        return _decode(entry).at_s
 
-    def _remembered_s(self, record: _Record, wall_s: float) -> float:
-        """Returns when so many crashes are forgotten that it runs again."""
+    def _quarantined_s(self, record: _Record, wall_s: float) -> float:
+        """Returns the time until the quarantine ends by expiry of crashes."""
         times_s = sorted(map(self._at_s, record.sources_of))
-        last_to_go_s = times_s[-self._rules.crashes]
-        return max(1.0, last_to_go_s + self._rules.remember_s - wall_s)
+        last_needed_s = times_s[-self._rules.crashes]
+        return max(1.0, last_needed_s + self._rules.remember_s - wall_s)
 
 
 def is_acquittal(entry: tables.Entry) -> bool:
-    """Whether an entry is an acquittal, not a crash."""
+    """Whether an entry is an acquittal rather than a crash."""
     return entry.key.startswith(f"{_ACQUITTAL}/")
 
 
 def crash_id_of(boot_id: str, number: int) -> str:
-    """Returns the name of a crash: the process that saw it, and a number."""
+    """Returns a crash id, made of the observing process and a number."""
     return f"{boot_id}.{number}"
 
 
 def crash_entry(
     crash_id: str, suspects: Iterable[Suspect], at_s: float
 ) -> tables.Entry:
-    """Returns the entry of a crash.
+    """Returns the table entry of a crash.
 
     Args:
-        crash_id: Names it among the crashes of all nodes; see `crash_id_of`.
-        suspects: What was at the server; later only more.
-        at_s: Wall clock of the crash.
+        crash_id: Unique over all nodes; see `crash_id_of`.
+        suspects: Requests in flight at the server. Later entries of the same
+            crash may only add suspects.
+        at_s: Wall clock time of the crash.
     """
-    found = sorted(
+    pairs = sorted(
         {(suspect.fingerprint, suspect.source) for suspect in suspects}
     )
     value = {
         "at_ms": round(at_s * _MS_PER_S),
-        "suspects": [list(pair) for pair in found],
+        "suspects": [list(pair) for pair in pairs],
     }
-    return tables.Entry(_crash_key(crash_id), (len(found),), value)
+    return tables.Entry(_crash_key(crash_id), (len(pairs),), value)
 
 
 def _acquittal_entry(
@@ -382,8 +387,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Note:
-    """What an entry says."""
+class _Event:
+    """Decoded table entry."""
 
     acquits: bool
     crash_id: str
@@ -391,11 +396,11 @@
     suspects: tuple[Suspect, ...]
 
 
-def _read(entry: tables.Entry) -> _Note:
-    """Reads an entry.
+def _decode(entry: tables.Entry) -> _Event:
+    """Decodes a table entry.
 
     Raises:
-        InvalidInputError: It is neither a crash nor an acquittal.
+        InvalidInputError: The entry is neither a crash nor an acquittal.
     """
     try:
         kind, crash_id = entry.key.split("/")[:2]
@@ -411,4 +416,4 @@
             f"expected a crash or an acquittal, got {entry.key[:80]!r}; all "
             f"nodes must run compatible releases."
         )
-    return _Note(kind == _ACQUITTAL, crash_id, at_s, suspects)
+    return _Event(kind == _ACQUITTAL, crash_id, at_s, suspects)
