--- a/packages/burdockfront/src/burdockfront/accounts.py
+++ b/packages/burdockfront/src/burdockfront/accounts.py
@@ -1,9 +1,9 @@
-"""Client accounts: whose key a request bears, and how much the account matters.
+"""Client accounts: looks up the account of an API key, and ranks requests.
 
-Keys are secrets. Where operators' table is read, each is replaced by a digest,
-and nothing else of the product ever holds one: a dump of a node's memory, a
-message between nodes or a log line gives none away. Keys are drawn at random
-and long, so a digest without salt is enough, and costs a request a microsecond.
+Keys are secrets. They are replaced by digests where the operators' table is
+read, and no other part of the product ever holds a key: memory dumps, messages
+between nodes and log lines cannot reveal one. Keys are long and random, so an
+unsalted digest is sufficient; it costs a microsecond per request.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 
 from burdockfront import errors
 
-# Of 96 bits: to guess a key that fits one of 10,000 digests takes 2^82 tries.
+# 96 bits: guessing a key that matches one of 10,000 digests takes 2^82 tries.
 _DIGEST_BYTES = 12
 RANKS = 8
 
@@ -25,12 +25,12 @@
     """A client account.
 
     Attributes:
-        name: What backend servers are told.
-        key_digests: Digests of the keys that admit it; see `digest_of`.
-        rank: How much its requests matter; 0 is shed last, None as the last
-            of those that say so.
-        rate_per_s: Requests that it may make, over all nodes; 0: no limit.
-        burst: Requests that it may make on top, once.
+        name: Name that is sent to backend servers.
+        key_digests: Digests of its keys; see `digest_of`.
+        rank: Importance of its requests. 0 is shed last; None counts as the
+            least important rank that any account has.
+        rate_per_s: Maximum rate of requests over all nodes; 0: no limit.
+        burst: Burst on top of the rate.
     """
 
     name: Annotated[str, pydantic.Field(min_length=1)]
@@ -43,17 +43,17 @@
 
 
 def digest_of(key: str) -> str:
-    """Returns what stands for a key."""
+    """Returns the digest of a key."""
     data = key.encode("utf-8", "surrogateescape")
     return hashlib.blake2b(data, digest_size=_DIGEST_BYTES).hexdigest()
 
 
 def check(accounts: Iterable[Account]) -> None:
-    """Refuses accounts that could not be told apart.
+    """Checks that names and keys are unique.
 
     Raises:
-        InvalidInputError: Two have one name, or share a key. The message
-            names accounts, and no key.
+        InvalidInputError: Two accounts have the same name or share a key. The
+            message contains account names, but no key.
     """
     names: set[str] = set()
     holders: dict[str, str] = {}
@@ -68,32 +68,33 @@
             holder = holders.setdefault(digest, account.name)
             if holder != account.name:
                 raise errors.InvalidInputError(
-                    f"expected each key to admit one client account, got one "
-                    f"of both {holder!r} and {account.name!r}; remove it from "
-                    f"one of them."
+                    f"expected each key to belong to one client account, got "
+                    f"a key of both {holder!r} and {account.name!r}; remove it "
+                    f"from one of them."
                 )
 
 
 class AccountIndex:
-    """The accounts in force at one node.
+    """Index of the accounts in effect at one node.
 
     Args:
-        accounts: As operators wrote them; see `check`.
-        route_ranks: Ranks that routes have.
-        before: The accounts in force until now; None at the start of a
-            process, when nothing is known of what was spent.
+        accounts: The configured accounts; see `check`.
+        route_ranks: Ranks of the routes.
+        previous: The accounts in effect until now; None at the start of a
+            process, when the earlier usage is unknown.
 
     Attributes:
-        in_use: Whether callers need a key at all.
-        limited: Names of the accounts that have a quota.
-        newly_limited: Names of those that had none until now.
+        accounts: The configured accounts.
+        in_use: Whether callers need a key.
+        limited: Names of the accounts with a quota.
+        newly_limited: Names of those that had no quota in `previous`.
     """
 
     def __init__(
         self,
         accounts: tuple[Account, ...] = (),
         route_ranks: Iterable[int] = (),
-        before: "AccountIndex | None" = None,
+        previous: "AccountIndex | None" = None,
     ):
         self.accounts = accounts
         self.in_use = bool(accounts)
@@ -106,7 +107,7 @@
         self.limited = frozenset(
             account.name for account in accounts if account.rate_per_s
         )
-        known = self.limited if before is None else before.limited
+        known = self.limited if previous is None else previous.limited
         self.newly_limited = self.limited - known
         ranks = {account.rank for account in accounts}
         self._ranks = _Ranks(
@@ -114,11 +115,11 @@
         )
 
     def get(self, name: str) -> Account | None:
-        """Returns the account of a name."""
+        """Returns the account with a name."""
         return self._by_name.get(name)
 
     def holder_of(self, key: str) -> Account | None:
-        """Returns whom a key admits."""
+        """Returns the account that a key belongs to."""
         data = key.encode("utf-8", "surrogateescape")
         digest = hashlib.blake2b(data, digest_size=_DIGEST_BYTES)
         return self._by_digest.get(digest.hexdigest())
@@ -127,41 +128,47 @@
         """Returns the rank of a request on a route.
 
         Args:
-            account: Whose it is; None for a backend server's call that could
-                not be tied to a request.
+            account: Its account; None for a backend server's call that could
+                not be attributed to a request.
             route_rank: Rank of the route.
         """
-        if not self._ranks.mixes:
+        if not self._ranks.uses_accounts:
             return route_rank
         rank = None if account is None else account.rank
         return self._ranks.of(rank, route_rank)
 
 
 class _Ranks:
-    """Puts ranks of accounts and of routes into one order.
+    """Combines ranks of accounts and routes into one order.
 
-    The account's decides, and the route's among accounts of the same rank.
-    With the account's alone, listings and confirmations of most callers would
-    be shed alike. Requests without an account count as of the least of them:
-    nothing says that they matter more.
+    Requests are ordered by the account's rank, and by the route's rank among
+    accounts of the same rank. By the account's rank alone, listings and
+    confirmations of most callers would be shed alike. Requests without an
+    account get the least important account rank, because nothing indicates
+    that they are more important.
+
+    Attributes:
+        uses_accounts: Whether the ranks of accounts have any effect.
     """
 
     def __init__(self, of_accounts: set[int], of_routes: set[int]):
-        self._places = {rank: place for place, rank in _places(of_routes)}
-        width = max(1, len(self._places))
+        self._position_of = {
+            rank: position for position, rank in _positions(of_routes)
+        }
+        width = max(1, len(self._position_of))
         levels = max(1, min(len(of_accounts), RANKS // width))
         count = max(1, len(of_accounts))
-        self.mixes = levels > 1
+        self.uses_accounts = levels > 1
         self._floors: dict[int | None, int] = {
-            rank: place * levels // count * width
-            for place, rank in _places(of_accounts)
+            rank: position * levels // count * width
+            for position, rank in _positions(of_accounts)
         }
-        self._least = (levels - 1) * width
+        self._default_floor = (levels - 1) * width
 
     def of(self, account_rank: int | None, route_rank: int) -> int:
-        floor = self._floors.get(account_rank, self._least)
-        return min(RANKS - 1, floor + self._places.get(route_rank, 0))
+        floor = self._floors.get(account_rank, self._default_floor)
+        return min(RANKS - 1, floor + self._position_of.get(route_rank, 0))
 
 
-def _places(ranks: set[int]) -> Iterable[tuple[int, int]]:
+def _positions(ranks: set[int]) -> Iterable[tuple[int, int]]:
     return enumerate(sorted(ranks))
