--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
@@ -49,7 +49,7 @@
         self,
         boot_id: str,
         store: store_lib.StoreClient,
-        crashes: crashes_lib.CrashBook,
+        crashes: crashes_lib.CrashTracker,
         take: Callable[[tables.Entry], object],
     ):
         self._boot_id = boot_id
@@ -68,7 +68,7 @@
         By each node that saw one of its crashes. They may hear of the others'
         crashes all in one moment, and the store may turn one of them away.
         """
-        if self._crashes.is_witness(fingerprint, self._boot_id):
+        if self._crashes.is_reported_by(fingerprint, self._boot_id):
             self._due.add(fingerprint)
             self._has_due.set()
 
@@ -119,7 +119,7 @@
 
     async def _keep(self, fingerprint: str) -> None:
         """Renews the key of a quarantined request, or writes it."""
-        evidence = self._crashes.evidence_of(fingerprint)
+        evidence = self._crashes.crash_entries_of(fingerprint)
         if fingerprint not in self._crashes.quarantined:
             # Its crashes are forgotten; the key goes with its lease.
             self._due.discard(fingerprint)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -15,7 +15,7 @@
 from burdockfront import accounts as accounts_lib
 from burdockfront import errors
 from burdockfront import local_quotas
-from burdockfront import quota_keeper
+from burdockfront import quota_allocator
 from burdockfront import quotas
 from burdockfront import timeline
 from burdockfront_node.controllers import exchange as exchange_lib
@@ -69,7 +69,7 @@
         self._limits = limits
         self._recorder = recorder
         self._rng = rng
-        self.keeper = quota_keeper.QuotaKeeper(limits)
+        self.keeper = quota_allocator.QuotaAllocator(limits)
         self._local = local_quotas.LocalQuotas(limits, rng)
         self._waiting: dict[tuple[str, int], list[asyncio.Future[float]]] = {}
         self._due = asyncio.Event()
@@ -100,7 +100,7 @@
         self, account: accounts_lib.Account, rank: int, now_s: float
     ) -> float | None:
         """Spends one request at once; None if `ask` has to find out."""
-        refused_s = self._local.spend(account.name, rank, now_s)
+        refused_s = self._local.admit(account.name, rank, now_s)
         if refused_s:
             self.refused[account.name] += 1
         return refused_s
@@ -109,7 +109,7 @@
         """Spends one request by a token of the keeper."""
         asked = (account.name, rank)
         wait_s = await self._ask_once(asked)
-        if 0.0 < wait_s <= local_quotas.SHORT_WAIT_S:
+        if 0.0 < wait_s <= local_quotas.MAX_TOKEN_WAIT_S:
             await asyncio.sleep(wait_s)
             wait_s = await self._ask_once(asked)
         if not wait_s:
@@ -155,7 +155,9 @@
             raise NotReadyError()
         report = quota_wire.read_report(message)
         self._limits.look(time.monotonic())
-        dealt = self.keeper.take(report, self._choice.nodes(), time.monotonic())
+        dealt = self.keeper.on_report(
+            report, self._choice.nodes(), time.monotonic()
+        )
         return quota_wire.write_dealt(dealt)
 
     async def _wait(self) -> None:
@@ -173,22 +175,22 @@
             self._exchange.membership.local_member.node_id,
             spent,
             tuple(
-                quotas.Wanted(account, rank, len(answers))
+                quotas.TokenRequest(account, rank, len(answers))
                 for (account, rank), answers in waiting.items()
             ),
         )
         try:
             dealt = await self._ask_keeper(report)
         except BaseException:
-            self._local.unanswered(spent)
+            self._local.on_report_failure(spent)
             _refuse_all(waiting)
             raise
         before = self._local.scarce
-        self._local.answered(dealt, time.monotonic())
+        self._local.on_allocation(dealt, time.monotonic())
         self._note_scarce(before, self._local.scarce)
         self._hand_out(dealt, waiting)
 
-    async def _ask_keeper(self, report: quotas.Report) -> quotas.Dealt:
+    async def _ask_keeper(self, report: quotas.Report) -> quotas.Allocation:
         """Asks the keeper, another one if it does not answer, or itself."""
         for _ in range(TRIES):
             keeper = self._choice.choose()
@@ -212,14 +214,16 @@
             self._note_keeper(keeper.node_id)
             return dealt
         self._note_keeper(report.node_id)
-        return self.keeper.take(report, self._choice.nodes(), time.monotonic())
+        return self.keeper.on_report(
+            report, self._choice.nodes(), time.monotonic()
+        )
 
     def _hand_out(
         self,
-        dealt: quotas.Dealt,
+        dealt: quotas.Allocation,
         waiting: dict[tuple[str, int], list[asyncio.Future[float]]],
     ) -> None:
-        for granted in dealt.granted:
+        for granted in dealt.grants:
             answers = waiting.pop((granted.account, granted.rank), [])
             left = granted.count
             for answer in answers:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -17,10 +17,10 @@
     """Returns a report as it travels."""
     return {
         "n": report.node_id,
-        "s": [[spent.account, spent.count] for spent in report.spent],
+        "s": [[spent.account, spent.count] for spent in report.usage],
         "w": [
             [wanted.account, wanted.rank, wanted.count]
-            for wanted in report.wanted
+            for wanted in report.requests
         ],
     }
 
@@ -35,10 +35,10 @@
         return quotas.Report(
             str(data["n"]),
             tuple(
-                quotas.Spent(*row) for row in _SPENT.validate_python(data["s"])
+                quotas.Usage(*row) for row in _SPENT.validate_python(data["s"])
             ),
             tuple(
-                quotas.Wanted(*row)
+                quotas.TokenRequest(*row)
                 for row in _WANTED.validate_python(data["w"])
             ),
         )
@@ -46,27 +46,27 @@
         raise _unreadable("a report of quotas", error) from None
 
 
-def write_dealt(dealt: quotas.Dealt) -> dict[str, Any]:
+def write_dealt(dealt: quotas.Allocation) -> dict[str, Any]:
     """Returns an answer as it travels."""
     return {
         "g": [
             [granted.account, granted.rank, granted.count, granted.wait_s]
-            for granted in dealt.granted
+            for granted in dealt.grants
         ],
         "c": sorted(dealt.scarce),
     }
 
 
-def read_dealt(data: dict[str, Any]) -> quotas.Dealt:
+def read_dealt(data: dict[str, Any]) -> quotas.Allocation:
     """Reads an answer.
 
     Raises:
         InvalidInputError: It does not have the shape of one.
     """
     try:
-        return quotas.Dealt(
+        return quotas.Allocation(
             tuple(
-                quotas.Granted(*row)
+                quotas.TokenGrant(*row)
                 for row in _GRANTED.validate_python(data["g"])
             ),
             frozenset(_NAMES.validate_python(data["c"])),
--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         boot_id: str,
-        book: crashes.CrashBook,
+        book: crashes.CrashTracker,
         tell: Callable[[tables.Entry], None],
         recorder: timeline.Recorder,
         is_gone: crash_watch_lib.IsGone = backend_probe.is_gone,
@@ -108,7 +108,7 @@
         self,
         call: calls.Call,
         suspect: crashes.Suspect,
-        judgement: crashes.Judgement,
+        judgement: crashes.Assessment,
     ) -> outcomes.Answer | None:
         """Returns a refusal, and logs what leads from its id to the crashes."""
         if not judgement.refused_s:
@@ -125,8 +125,8 @@
             outcomes.Reason.QUARANTINED, judgement.refused_s
         )
 
-    def _judge(self, suspect: crashes.Suspect) -> crashes.Judgement:
-        return self._book.judge(suspect, time.monotonic(), time.time())
+    def _judge(self, suspect: crashes.Suspect) -> crashes.Assessment:
+        return self._book.assess(suspect, time.monotonic(), time.time())
 
     def _crashed(self, crash: crash_watch_lib.Crash) -> None:
         """Tells of a crash of the backend server beside this node."""
@@ -173,7 +173,7 @@
 
 def alone(recorder: timeline.Recorder) -> Quarantine:
     """Returns the quarantine of a node that has no others to tell."""
-    book = crashes.CrashBook()
+    book = crashes.CrashTracker()
 
     def tell(entry: tables.Entry) -> None:
         book.merge(entry, time.monotonic(), time.time())
--- /dev/null
+++ b/packages/burdockfront/src/burdockfront/quota_allocator.py
@@ -0,0 +1,231 @@
+"""Allocates client account quotas to nodes; see `quotas`."""
+
+import dataclasses
+
+from burdockfront import quotas
+
+# Nodes report twice a second. A node that switches to another allocator counts
+# at both for this long.
+_REPORT_TTL_S = 1.0
+# An account is scarce, so its requests need tokens, below the first thresholds,
+# and no longer above the second. Each threshold is a fraction of the bucket's
+# depth or the refill of so many seconds, whichever is less. The refill
+# thresholds are at least what all nodes may admit locally before they learn
+# that the account is scarce.
+_SCARCE_BELOW = 0.5
+_SCARCE_BELOW_S = 1.0
+_AMPLE_ABOVE = 0.75
+_AMPLE_ABOVE_S = 1.5
+# Interval between counts of the reporting nodes.
+_COUNT_INTERVAL_S = 0.1
+# Maximum fraction of a bucket's depth that is held back for requests that nodes
+# admit locally because they have not learned yet that the account is scarce.
+_MAX_HELD_BACK = 0.1
+# Tokens kept for each more important rank: the refill of this many seconds, at
+# least _MIN_RESERVE, for at most _MAX_RESERVE_RANKS ranks. A small reserve is
+# enough: more important requests that ask for the whole refill keep the level
+# below it.
+_RESERVE_S = 0.05
+_MIN_RESERVE = 0.5
+_MAX_RESERVE_RANKS = 2
+# After this long without any report, other nodes allocate in this node's place.
+_TERM_S = 3.0
+_MIN_RATE_PER_S = 1e-6
+
+
+@dataclasses.dataclass(slots=True)
+class _Bucket:
+    """Token bucket of an account.
+
+    Attributes:
+        level: Tokens at `at_s`.
+        at_s: Monotonic time up to which the bucket is filled.
+        scarce_since_s: Monotonic time since which the account is scarce.
+        initial_share: Fraction of `Limit.initial` already added to the level.
+    """
+
+    level: float
+    at_s: float
+    scarce_since_s: float
+    initial_share: float = 0.0
+
+
+class QuotaAllocator:
+    """Token buckets at one node, for the nodes that report to it.
+
+    Args:
+        limits: The limits in effect.
+    """
+
+    def __init__(self, limits: quotas.Limits):
+        self._limits = limits
+        self._buckets: dict[str, _Bucket] = {}
+        self._scarce: set[str] = set()
+        self._last_report_s: dict[str, float] = {}
+        self._counted_at_s = float("-inf")
+        self._share = 1.0
+        self._term_start_s = 0.0
+        self._nodes = 1
+        self._reported_at_s = float("-inf")
+
+    @property
+    def reporters(self) -> int:
+        """Number of nodes that reported to this node recently."""
+        return len(self._last_report_s)
+
+    @property
+    def share(self) -> float:
+        """Fraction of each quota that is allocated here."""
+        return self._share
+
+    def level_of(self, account: str) -> float:
+        """Returns the tokens of an account when its bucket was last filled."""
+        bucket = self._buckets.get(account)
+        return bucket.level if bucket is not None else 0.0
+
+    def on_report(
+        self, report: quotas.Report, nodes: int, now_s: float
+    ) -> quotas.Allocation:
+        """Handles a report and returns the reply.
+
+        Args:
+            report: The report of a node.
+            nodes: Number of nodes that may admit requests anywhere, including
+                those that are unreachable now.
+            now_s: Monotonic time.
+        """
+        self._renew_term(now_s)
+        self._nodes = max(1, nodes)
+        self._count_reporters(report.node_id, nodes, now_s)
+        for usage in report.usage:
+            bucket = self._bucket(usage.account, now_s)
+            if bucket is not None:
+                bucket.level -= usage.count
+        # The most important first, whatever their order in the report.
+        requests = sorted(report.requests, key=lambda request: request.rank)
+        grants = tuple(
+            self._grant(request, report.node_id, now_s) for request in requests
+        )
+        for account in list(self._scarce):
+            self._bucket(account, now_s)
+        return quotas.Allocation(grants, frozenset(self._scarce))
+
+    def _renew_term(self, now_s: float) -> None:
+        """Drops all buckets if other nodes have allocated in the meantime."""
+        if now_s - self._reported_at_s > _TERM_S:
+            self._buckets.clear()
+            self._scarce.clear()
+            self._last_report_s.clear()
+            self._term_start_s = now_s
+        self._reported_at_s = now_s
+
+    def _count_reporters(self, node_id: str, nodes: int, now_s: float) -> None:
+        """Counts the reporting nodes and updates the share."""
+        known = len(self._last_report_s)
+        self._last_report_s[node_id] = now_s
+        due = now_s - self._counted_at_s > _COUNT_INTERVAL_S
+        if known == len(self._last_report_s) and not due:
+            return
+        self._counted_at_s = now_s
+        oldest_s = now_s - _REPORT_TTL_S
+        self._last_report_s = {
+            name: at_s
+            for name, at_s in self._last_report_s.items()
+            if at_s >= oldest_s
+        }
+        count = len(self._last_report_s)
+        share = min(1.0, count / max(1, nodes))
+        if share != self._share:
+            # The refill up to now is at the old share.
+            self._fill_all(now_s)
+            self._share = share
+            self._fill_all(now_s)
+
+    def _fill_all(self, now_s: float) -> None:
+        for account in list(self._buckets):
+            self._bucket(account, now_s)
+
+    def _bucket(self, account: str, now_s: float) -> _Bucket | None:
+        """Returns an account's bucket, filled up to now; None without limit."""
+        limit = self._limits.limit_of(account)
+        if limit is None:
+            self._buckets.pop(account, None)
+            self._scarce.discard(account)
+            return None
+        bucket = self._buckets.get(account)
+        if bucket is None:
+            bucket = self._buckets[account] = _Bucket(
+                0.0, self._term_start_s, now_s
+            )
+            self._scarce.add(account)
+            if self._limits.is_new(account, now_s):
+                # No tokens of a new limit can have been used elsewhere.
+                bucket.level = limit.depth
+        depth = limit.depth * self._share
+        gained = limit.rate_per_s * self._share * (now_s - bucket.at_s)
+        if self._share > bucket.initial_share:
+            gained += limit.initial * (self._share - bucket.initial_share)
+            bucket.initial_share = self._share
+        bucket.level = min(depth, bucket.level + gained)
+        bucket.at_s = now_s
+        rate = limit.rate_per_s * self._share
+        unreported = self._nodes * quotas.max_unreported(limit, self._nodes)
+        scarce_below = max(_SCARCE_BELOW_S * rate, unreported)
+        ample_above = max(_AMPLE_ABOVE_S * rate, unreported + 1)
+        if bucket.level < min(_SCARCE_BELOW * depth, scarce_below):
+            if account not in self._scarce:
+                bucket.scarce_since_s = now_s
+            self._scarce.add(account)
+        elif bucket.level > min(_AMPLE_ABOVE * depth, ample_above):
+            self._scarce.discard(account)
+        return bucket
+
+    def _grant(
+        self, request: quotas.TokenRequest, node_id: str, now_s: float
+    ) -> quotas.TokenGrant:
+        bucket = self._bucket(request.account, now_s)
+        limit = self._limits.limit_of(request.account)
+        if bucket is None or limit is None:
+            return quotas.TokenGrant(
+                request.account, request.rank, request.count, 0.0
+            )
+        reserve = _reserve_of(request.rank, limit) * self._share
+        held_back = self._held_back(request.account, bucket, limit, node_id)
+        free = max(0, int(bucket.level - reserve - held_back))
+        count = min(request.count, free)
+        bucket.level -= count
+        missing = 1.0 + reserve + held_back - bucket.level
+        rate = max(_MIN_RATE_PER_S, limit.rate_per_s * self._share)
+        wait_s = max(0.0, missing / rate)
+        return quotas.TokenGrant(request.account, request.rank, count, wait_s)
+
+    def _held_back(
+        self, account: str, bucket: _Bucket, limit: quotas.Limit, node_id: str
+    ) -> float:
+        """Returns tokens for requests that nodes may have admitted unreported.
+
+        Args:
+            account: Account of the requested tokens.
+            bucket: Its bucket.
+            limit: Its limit.
+            node_id: The requesting node, which has just reported.
+        """
+        since_s = float("inf")
+        if account in self._scarce:
+            since_s = bucket.scarce_since_s
+        if bucket.at_s - since_s > _REPORT_TTL_S:
+            return 0.0
+        unaware = sum(
+            at_s < since_s and name != node_id
+            for name, at_s in self._last_report_s.items()
+        )
+        per_node = quotas.max_unreported(limit, self._nodes)
+        return min(unaware * per_node, limit.depth * _MAX_HELD_BACK)
+
+
+def _reserve_of(rank: int, limit: quotas.Limit) -> float:
+    """Returns the tokens that are kept for ranks more important than `rank`."""
+    per_rank = max(_MIN_RESERVE, limit.rate_per_s * _RESERVE_S)
+    return min(rank, _MAX_RESERVE_RANKS) * min(
+        per_rank, limit.depth / _MAX_RESERVE_RANKS / 2
+    )
--- a/tests/properties/test_quotas.py
+++ b/tests/properties/test_quotas.py
@@ -62,7 +62,7 @@
         _play(world, kind, numbers)
     # What nodes admitted unasked, and what those that were killed did.
     killed = quota_world.most_in_window(world.killed_s, _WINDOW_S)
-    each = quotas.may_spend_unreported(limits.limit, _NODES)
+    each = quotas.max_unreported(limits.limit, _NODES)
     unreported = each * (_NODES + killed)
     # A node that turns to another keeper counts at both for a second.
     moved = quota_world.most_in_window(world.moved_s, _WINDOW_S)
@@ -144,7 +144,7 @@
     world.play(1.0, 90.0)
     world.admitted_s.clear()
     world.play(10.0, 90.0)
-    unreported = quotas.may_spend_unreported(limits.limit, _NODES) * _NODES
+    unreported = quotas.max_unreported(limits.limit, _NODES) * _NODES
     assert world.most_in_window(_WINDOW_S) <= 5.0 * 5.0 + 5.0 + unreported
 
 
@@ -153,16 +153,16 @@
     limits = quota_world.Limits(10.0, 20.0)
     world = quota_world.World(1, limits, 3)
     node = world._nodes[0]
-    node.keeper.take(quotas.Report("n0"), 1, 0.0)
+    node.keeper.on_report(quotas.Report("n0"), 1, 0.0)
     granted = {0: 0, 2: 0}
     for tenth in range(100):
         asked = tuple(
-            quotas.Wanted(quota_world.ACCOUNT, rank, 1) for rank in (2, 0)
+            quotas.TokenRequest(quota_world.ACCOUNT, rank, 1) for rank in (2, 0)
         )
-        dealt = node.keeper.take(
+        dealt = node.keeper.on_report(
             quotas.Report("n0", (), asked), 1, tenth / 10.0
         )
-        for answer in dealt.granted:
+        for answer in dealt.grants:
             granted[answer.rank] += answer.count
     assert granted[0] >= 90
     assert granted[0] > 5 * granted[2]
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -10,7 +10,7 @@
 import random
 
 from burdockfront import local_quotas
-from burdockfront import quota_keeper
+from burdockfront import quota_allocator
 from burdockfront import quotas
 
 TICK_S = 0.01
@@ -55,7 +55,7 @@
     def __init__(self, number: int, world: "World", born_s: float):
         self.number = number
         self.born_s = born_s
-        self.keeper = quota_keeper.QuotaKeeper(world.limits)
+        self.keeper = quota_allocator.QuotaAllocator(world.limits)
         self.local = local_quotas.LocalQuotas(world.limits, world.rng)
         self.next_report_s = born_s + world.rng.uniform(0.0, REPORT_S)
         self.avoided: dict[int, float] = {}
@@ -157,10 +157,10 @@
         if not self._is_up(node):
             return
         self.asked_s.append(self.now_s)
-        refused_s = node.local.spend(ACCOUNT, 0, self.now_s)
+        refused_s = node.local.admit(ACCOUNT, 0, self.now_s)
         if refused_s is None:
             refused_s = self._ask(node)
-            if 0.0 < refused_s <= local_quotas.SHORT_WAIT_S:
+            if 0.0 < refused_s <= local_quotas.MAX_TOKEN_WAIT_S:
                 self._waiting.append((self.now_s + refused_s, number))
                 return
         self._count(refused_s)
@@ -173,13 +173,13 @@
 
     def _ask(self, node: _Node) -> float:
         """Returns 0 with a token, or when there will be one."""
-        dealt = self._report(node, (quotas.Wanted(ACCOUNT, 0, 1),))
-        granted = dealt.granted[0]
+        dealt = self._report(node, (quotas.TokenRequest(ACCOUNT, 0, 1),))
+        granted = dealt.grants[0]
         return 0.0 if granted.count else granted.wait_s
 
     def _report(
-        self, node: _Node, wanted: tuple[quotas.Wanted, ...]
-    ) -> quotas.Dealt:
+        self, node: _Node, wanted: tuple[quotas.TokenRequest, ...]
+    ) -> quotas.Allocation:
         node.local.nodes = len(self._nodes)
         report = quotas.Report(node.name, node.local.report(), wanted)
         keeper = self._keeper_of(node)
@@ -187,10 +187,10 @@
             node.asked_last = keeper.number
             self.moved_s.append(self.now_s)
         self.messages += keeper is not node
-        dealt = keeper.keeper.take(report, len(self._nodes), self.now_s)
+        dealt = keeper.keeper.on_report(report, len(self._nodes), self.now_s)
         if not self.way.unasked:
             dealt = dataclasses.replace(dealt, scarce=frozenset([ACCOUNT]))
-        node.local.answered(dealt, self.now_s)
+        node.local.on_allocation(dealt, self.now_s)
         node.next_report_s = self.now_s + REPORT_S
         return dealt
 
--- a/tests/unit/test_crashes.py
+++ b/tests/unit/test_crashes.py
@@ -16,19 +16,19 @@
 _INNOCENT = crashes.Suspect("innocent", "fees")
 
 
-def _book(*entries: tables.Entry) -> crashes.CrashBook:
-    book = crashes.CrashBook(_RULES)
+def _book(*entries: tables.Entry) -> crashes.CrashTracker:
+    book = crashes.CrashTracker(_RULES)
     for entry in entries:
         book.merge(entry, 0.0, 0.0)
     return book
 
 
 def _standing(
-    book: crashes.CrashBook,
+    book: crashes.CrashTracker,
     suspect: crashes.Suspect = _DEADLY,
     now_s: float = 100.0,
 ) -> crashes.Standing:
-    return book.judge(suspect, now_s, now_s).standing
+    return book.assess(suspect, now_s, now_s).standing
 
 
 def test_request_is_treated_by_how_many_servers_crashed_under_it():
@@ -107,7 +107,7 @@
     book = _book(
         *[builders.a_crash(f"a.{n}", _DEADLY, at_s=n) for n in (1, 2, 3, 4)]
     )
-    judgement = book.judge(_DEADLY, 10.0, 10.0)
+    judgement = book.assess(_DEADLY, 10.0, 10.0)
     # When the second of four is forgotten, two are left.
     assert judgement.refused_s == pytest.approx(592.0)
 
@@ -152,8 +152,8 @@
     return crashes.Suspect("listing", "fees", account)
 
 
-def _book_of(*accounts: tuple[str, ...]) -> crashes.CrashBook:
-    book = crashes.CrashBook()
+def _book_of(*accounts: tuple[str, ...]) -> crashes.CrashTracker:
+    book = crashes.CrashTracker()
     for number, names in enumerate(accounts):
         found = [_of(name) for name in names]
         book.merge(builders.a_crash(f"n.{number}", *found), 0.0, 0.0)
@@ -180,4 +180,4 @@
     for entry in book.acquittals_of(_of("b"), 0.0):
         book.merge(entry, 0.0, 0.0)
     assert _standing(book, _of("d")) is not crashes.Standing.QUARANTINED
-    assert len(book.evidence_of("listing")) == 2
+    assert len(book.crash_entries_of("listing")) == 2
