--- a/tests/unit/test_limited_guards.py
+++ b/tests/unit/test_limited_guards.py
@@ -109,7 +109,7 @@
 
 
 def test_confirmation_and_nested_call_are_sent_to_limited_servers():
-    """Failure: requests that limited servers take first are not sent to them."""
+    """Failure: limited servers do not get the requests that they take first."""
 
     async def scenario() -> None:
         dispatcher = _dispatcher(n1=_limited, n2=_limited)
