--- a/packages/burdockfront/src/burdockfront/tables.py
+++ b/packages/burdockfront/src/burdockfront/tables.py
@@ -1,16 +1,17 @@
-"""A versioned table: the one mechanism that carries state between nodes.
+"""A versioned table of key-value entries that nodes replicate by gossip.
 
 Membership and configuration are both tables of (key, version, value). Merging
 keeps the higher version of each key. Versions only grow, so merging is
-commutative, idempotent and never goes back, whatever the network loses,
+commutative, idempotent and monotonic, whatever messages the network loses,
 repeats or reorders:
 
     after merge(e): version(key) == max(version before, e.version)
 
-Two ways spread entries. A change is pushed at once to a few peers, who push
-it on (see `Rumors`): it reaches everybody in a few network delays. What a
-push missed is found by comparing digests: a table is summed into buckets, and
-only buckets that differ are exchanged. In steady state that costs one number.
+Entries spread in two ways. A change is pushed immediately to a few peers, which
+push it on (see `BroadcastQueue`); it reaches all nodes within a few network
+delays. Entries that a push missed are found by anti-entropy sync: a table is
+hashed into buckets, the bucket digests are compared, and only buckets that
+differ are exchanged. While the tables are equal, a sync costs one digest.
 """
 
 import dataclasses
@@ -31,7 +32,7 @@
 
     Attributes:
         key: Name in the table.
-        version: Grows with each change, compared as a tuple.
+        version: Increases with each change; compared as a tuple.
         value: JSON value.
     """
 
@@ -40,15 +41,15 @@
     value: dict[str, Any]
 
     def to_json(self) -> list[Any]:
-        """Returns the form that travels."""
+        """Returns the form that is sent between nodes."""
         return [self.key, list(self.version), self.value]
 
 
 def entry_from_json(data: Any) -> Entry:
-    """Reads an entry.
+    """Parses an entry.
 
     Raises:
-        InvalidInputError: It does not have the shape of an entry.
+        InvalidInputError: The data does not have the shape of an entry.
     """
     try:
         key, version, value = data
@@ -67,11 +68,11 @@
 
 
 class Table:
-    """Entries by key, with digests that are kept up to date."""
+    """Entries by key, with incrementally updated digests."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
-        self._sums = [0] * _BUCKETS
+        self._digests = [0] * _BUCKETS
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -85,96 +86,112 @@
         return list(self._entries.values())
 
     def merge(self, entry: Entry) -> bool:
-        """Takes an entry if it is newer than ours.
+        """Stores an entry if it is newer than the stored one.
 
         Returns:
             Whether the table changed.
         """
-        ours = self._entries.get(entry.key)
-        if ours is not None and not _newer(entry, ours):
+        stored = self._entries.get(entry.key)
+        if stored is not None and not _newer(entry, stored):
             return False
         bucket = _bucket_of(entry.key)
-        if ours is not None:
-            self._sums[bucket] ^= _hash(ours)
-        self._sums[bucket] ^= _hash(entry)
+        if stored is not None:
+            self._digests[bucket] ^= _hash(stored)
+        self._digests[bucket] ^= _hash(entry)
         self._entries[entry.key] = entry
         return True
 
     def remove(self, key: str) -> None:
-        """Forgets a key; only for entries that nobody will offer again."""
+        """Removes a key; only for entries that no peer will send again."""
         entry = self._entries.pop(key, None)
         if entry is not None:
-            self._sums[_bucket_of(key)] ^= _hash(entry)
+            self._digests[_bucket_of(key)] ^= _hash(entry)
 
     def digest(self) -> str:
-        """Returns one short text that is equal when tables are equal."""
-        total = xxhash.xxh3_64_hexdigest(orjson.dumps(self._sums))
+        """Returns a short text that is equal for equal tables."""
+        total = xxhash.xxh3_64_hexdigest(orjson.dumps(self._digests))
         return total
 
     def bucket_digests(self) -> list[int]:
-        """Returns a number per bucket."""
-        return list(self._sums)
+        """Returns the digest of each bucket."""
+        return list(self._digests)
 
-    def differing(self, others: list[int]) -> list[Entry]:
-        """Returns our entries of the buckets that differ.
+    def differing(self, peer_digests: list[int]) -> list[Entry]:
+        """Returns this table's entries in the buckets that differ.
+
+        Args:
+            peer_digests: The bucket digests of the peer's table.
 
         Raises:
-            InvalidInputError: The peer sums into another number of buckets.
+            InvalidInputError: The peer uses another number of buckets.
         """
-        if len(others) != _BUCKETS:
+        if len(peer_digests) != _BUCKETS:
             raise errors.InvalidInputError(
-                f"expected {_BUCKETS} bucket digests, got {len(others)}; all "
-                f"nodes must run compatible releases."
+                f"expected {_BUCKETS} bucket digests, got "
+                f"{len(peer_digests)}; all nodes must run compatible releases."
             )
-        wrong = {i for i, total in enumerate(self._sums) if total != others[i]}
-        return [e for e in self._entries.values() if _bucket_of(e.key) in wrong]
+        unequal = {
+            i
+            for i, digest in enumerate(self._digests)
+            if digest != peer_digests[i]
+        }
+        return [
+            e for e in self._entries.values() if _bucket_of(e.key) in unequal
+        ]
 
 
 class BroadcastQueue:
-    """Keys that changed lately and are still to be passed on.
+    """Queue of recently changed keys that are still to be pushed to peers.
+
+    Each change is sent to `sends` peers drawn at random. If every node sends
+    it to s peers, about 1 - exp(-s) of the nodes receive it; anti-entropy sync
+    reaches the rest. Sending to more peers is the largest cost in a burst of
+    changes.
 
-    Each change is told to `sends` peers drawn at random. If every node tells
-    it to s peers, about 1 - exp(-s) of the nodes are reached; the digests
-    find the rest. Telling more is what costs most in a burst of news.
+    Args:
+        sends: Number of peers to which each change is sent.
     """
 
     def __init__(self, sends: int):
         self._sends = sends
-        self._left: dict[str, int] = {}
+        self._sends_left: dict[str, int] = {}
 
     def add(self, key: str, first: bool = False) -> None:
-        """Starts to pass a change on.
+        """Queues a changed key.
 
         Args:
-            key: What changed.
-            first: Before all others, for what only this node knows yet.
+            key: The key that changed.
+            first: Send it before all other keys; for a change that only this
+                node knows so far.
         """
-        self._left[key] = self._sends + (1 if first else 0)
+        self._sends_left[key] = self._sends + (1 if first else 0)
 
-    def take(self, most: int, peers: int = 1) -> list[str]:
-        """Returns keys for one message, those told least first.
+    def take(self, max_keys: int, peers: int = 1) -> list[str]:
+        """Returns keys for one message, least often sent keys first.
 
         Args:
-            most: Largest number of keys.
-            peers: How many peers get the message.
+            max_keys: Maximum number of keys.
+            peers: Number of peers that receive the message.
         """
-        keys = sorted(self._left, key=lambda key: -self._left[key])[:most]
+        keys = sorted(self._sends_left, key=lambda key: -self._sends_left[key])[
+            :max_keys
+        ]
         for key in keys:
-            self._left[key] -= peers
-            if self._left[key] <= 0:
-                del self._left[key]
+            self._sends_left[key] -= peers
+            if self._sends_left[key] <= 0:
+                del self._sends_left[key]
         return keys
 
     def __bool__(self) -> bool:
-        return bool(self._left)
+        return bool(self._sends_left)
 
 
-def _newer(entry: Entry, ours: Entry) -> bool:
-    if entry.version != ours.version:
-        return entry.version > ours.version
+def _newer(entry: Entry, stored: Entry) -> bool:
+    if entry.version != stored.version:
+        return entry.version > stored.version
     # Equal versions with different values can only come from a fault. All
-    # nodes must still settle on the same one, or digests differ for ever.
-    return _hash(entry) > _hash(ours)
+    # nodes must still converge on the same value, or digests differ for ever.
+    return _hash(entry) > _hash(stored)
 
 
 def _bucket_of(key: str) -> int:
