--- a/packages/burdockfront/src/burdockfront/members.py
+++ b/packages/burdockfront/src/burdockfront/members.py
@@ -1,4 +1,4 @@
-"""One member: a node, the backend server beside it, and what is believed."""
+"""A member: a node, its backend server, and the status assumed of it."""
 
 import dataclasses
 import enum
@@ -13,7 +13,7 @@
 
 
 class Status(enum.StrEnum):
-    """What is believed of a member."""
+    """Status that is assumed of a member."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -21,7 +21,8 @@
     LEFT = "left"
 
 
-# Of two statuses under one version the higher one wins.
+# Of two statuses under the same incarnation and revision, the one of the higher
+# rank wins.
 RANK = {
     Status.ALIVE: 0,
     Status.SUSPECT: 1,
@@ -32,21 +33,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """A node and the backend server beside it.
+    """A node and the backend server on the same VM.
 
     Attributes:
         node_id: Name from the settings.
-        boot_id: Names the process.
-        incarnation: Grows with each start of the node.
-        revision: Grows with each change that the node makes to its entry.
-        status: What is believed of it.
-        address: Where it takes calls of nodes, `ip:port`.
-        data_center: Its data centre.
-        region: Its region.
-        service: Service of its backend server; empty while none announced.
-        slots: Slots of its backend server that its guard believes.
-        draining: It takes no new work.
-        store_away: The store does not answer this node.
+        boot_id: Id of the process.
+        incarnation: Increases with each start of the node.
+        revision: Increases with each change that the node makes to its entry.
+        status: Status that is assumed of the node.
+        address: Address for calls from other nodes, `ip:port`.
+        data_center: Data centre of the node.
+        region: Region of the node.
+        service: Service of its backend server; empty until one is announced.
+        slots: Concurrent requests that its guard assumes its backend server
+            can serve.
+        draining: The node accepts no new work.
+        store_away: The store is unavailable to this node.
     """
 
     node_id: str
@@ -63,8 +65,8 @@
     store_away: bool = False
 
     @property
-    def gone(self) -> bool:
-        """Whether its process is believed to have ended."""
+    def ended(self) -> bool:
+        """Whether its process is assumed to have ended."""
         return self.status in (Status.DEAD, Status.LEFT)
 
     def to_entry(self) -> tables.Entry:
@@ -85,7 +87,7 @@
         return tables.Entry(self.node_id, version, value)
 
     def to_target(self) -> guards.Target:
-        """Returns what a router needs of this member."""
+        """Returns the fields that a router needs."""
         return guards.Target(
             node_id=self.node_id,
             boot_id=self.boot_id,
@@ -99,7 +101,7 @@
 
 
 def member_from_entry(entry: tables.Entry) -> Member:
-    """Reads a member.
+    """Parses a member.
 
     Raises:
         InvalidInputError: The entry does not describe a member.
@@ -136,9 +138,12 @@
 
 
 def _address(value: dict[str, Any]) -> str:
-    """Returns an address that can be asked.
+    """Returns the address, if a request can be sent to it.
 
-    One that can't would end the task that probes members, for all of them.
+    A malformed address would end the task that probes all members.
+
+    Raises:
+        ValueError: It is not of the form `ip:port`.
     """
     found = _text(value, "address")
     if not _ADDRESS.match(found):
--- a/packages/burdockfront/src/burdockfront/membership.py
+++ b/packages/burdockfront/src/burdockfront/membership.py
@@ -1,20 +1,21 @@
-"""Who is there: members, their suspicion, death and return.
+"""SWIM membership: alive, suspected and dead members, and members that left.
 
 Each node owns its own entry in a versioned table. The version is
 (incarnation, revision, rank of status). Only the node itself raises its
-incarnation or revision; others may only raise the status within a version
-(alive < suspect < dead). So
+incarnation or revision; other nodes may only raise the status within a version
+(alive < suspect < dead). Therefore
 
-* an old message can never bring back a newer death, or kill a newer life;
-* a live node that hears of its own suspicion refutes it by a new revision,
-  which wins everywhere;
+* an old message can neither revive a member after a newer death nor declare a
+  newer incarnation dead;
+* a live node that receives its own suspicion refutes it by a new revision,
+  which wins on all nodes;
 * a node restarted on the same address has a higher incarnation and wins.
 
-Failure detection follows the SWIM papers (Das, Gupta, Motivala 2002): each
-period one member is probed (`probe_order` says which); if it does not answer, a
-few others are asked to probe it; if nobody reaches it, it is suspected, and
-dead after a time in which it could have refuted. The load per node does not
-depend on the number of members.
+Failure detection follows the SWIM paper (Das, Gupta, Motivala 2002): in each
+period one member is probed (`probe_order` selects it). If it does not answer, a
+few other members probe it indirectly. If none of them reaches it, it is
+suspected, and declared dead after a timeout in which it could have refuted the
+suspicion. The load per node does not depend on the number of members.
 """
 
 import dataclasses
@@ -29,13 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """How fast failures are found, and at what price.
+    """Timing of failure detection: shorter times cost more probes.
 
     Attributes:
-        period_s: One probe per period.
-        suspicion_periods: Periods, times log10 of the members, in which a
-            suspect may refute.
-        remember_s: How long a dead member is remembered.
+        period_s: Length of a period; one probe is sent per period.
+        suspicion_periods: Suspicion timeout in periods, to be multiplied by
+            log10 of the number of members.
+        remember_s: Time for which a member that died or left is retained.
     """
 
     period_s: float = 1.0
@@ -45,18 +46,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A change of belief, for the time line and the router."""
+    """A changed view of a member, for the time line and the router.
+
+    Attributes:
+        member: The member as it is now.
+        before: Its status before; None if the member was unknown.
+    """
 
     member: members_lib.Member
     before: members_lib.Status | None
 
 
 class Membership:
-    """The members as one node knows them.
+    """One node's view of the members.
 
     Args:
         local_member: The node's own entry, alive.
-        timing: Pace of failure detection.
+        timing: Timing of failure detection.
         rng: Source of randomness.
     """
 
@@ -90,11 +96,11 @@
 
     @property
     def refuted(self) -> int:
-        """How often this node had to refute its own suspicion."""
+        """Number of times this node refuted its own suspicion."""
         return self._refuted
 
     def members(self) -> list[members_lib.Member]:
-        """Returns all remembered members."""
+        """Returns all members, including retained ones that died or left."""
         return list(self._members.values())
 
     def get(self, node_id: str) -> members_lib.Member | None:
@@ -102,7 +108,7 @@
         return self._members.get(node_id)
 
     def usable(self) -> list[members_lib.Member]:
-        """Returns members that are alive or merely suspected."""
+        """Returns the members that are alive or suspected."""
         return [
             m
             for m in self._members.values()
@@ -111,18 +117,18 @@
         ]
 
     def update_local_member(self, now_s: float, **changes: Any) -> Change:
-        """Changes this node's own entry under a new revision."""
+        """Changes fields of this node's own entry under a new revision."""
         self._local = dataclasses.replace(
             self._local, revision=self._local.revision + 1, **changes
         )
         return self._put(self._local, now_s)
 
     def merge(self, entry: tables.Entry, now_s: float) -> Change | None:
-        """Takes an entry from a peer.
+        """Merges an entry received from a peer.
 
         Returns:
-            The change of belief, or None when the entry was not news. For an
-            entry about this node itself, the refutation.
+            The change, or None if the entry was not newer than the known one.
+            For an entry about this node itself, the refutation.
 
         Raises:
             InvalidInputError: The entry does not describe a member.
@@ -135,82 +141,93 @@
             members_lib.Status.DEAD,
             members_lib.Status.LEFT,
         ):
-            # Still kept: a node that forgot a death would take an older
-            # "alive" from a slow peer for news and resurrect the member.
+            # Stored although the member is unknown: without the death, a later
+            # message from a slow peer with an older "alive" would be accepted
+            # and revive the member.
             return self._put(member, now_s)
         if not self._table.merge(entry):
             return None
         return self._put(member, now_s)
 
     def suspect(self, node_id: str, now_s: float) -> Change | None:
-        """Notes that nobody reached a member."""
+        """Suspects a member that neither probe nor indirect probers reached."""
         member = self._members.get(node_id)
         if member is not None:
             self._probe_order.record_failure(member)
         return self._demote(node_id, members_lib.Status.SUSPECT, now_s)
 
     def advance(self, now_s: float) -> list[Change]:
-        """Lets time pass: suspects die, the long dead are forgotten."""
+        """Declares overdue suspects dead and removes expired members.
+
+        Returns:
+            The changes to dead.
+        """
         changes = []
         for member in list(self._members.values()):
             age_s = now_s - self._since_s[member.node_id]
             if (
                 member.status is members_lib.Status.SUSPECT
-                and age_s > self._patience_s()
+                and age_s > self._suspicion_timeout_s()
             ):
                 change = self._demote(
                     member.node_id, members_lib.Status.DEAD, now_s
                 )
                 if change is not None:
                     changes.append(change)
-            elif member.gone and age_s > self._timing.remember_s:
-                self._forget(member.node_id)
+            elif member.ended and age_s > self._timing.remember_s:
+                self._remove(member.node_id)
         return changes
 
     def next_probe(self) -> members_lib.Member | None:
         """Returns the member to probe in this period."""
-        mine = self._local.node_id
-        others = [m for m in self._members.values() if m.node_id != mine]
-        return self._probe_order.next(others)
+        local_id = self._local.node_id
+        peers = [m for m in self._members.values() if m.node_id != local_id]
+        return self._probe_order.next(peers)
 
     def record_probe_answer(self, member: members_lib.Member) -> None:
-        """Notes that a member answered a probe."""
+        """Records that a member answered a probe."""
         self._probe_order.record_answer(member)
 
     def indirect_probers(
-        self, node_id: str, most: int
+        self, node_id: str, limit: int
     ) -> list[members_lib.Member]:
-        """Returns members who may be asked to probe another one."""
-        others = self._others(besides=node_id)
-        return self._rng.sample(others, min(most, len(others)))
+        """Returns random members to probe another member indirectly.
+
+        Args:
+            node_id: The member to probe.
+            limit: Maximum number of members returned.
+        """
+        peers = self._peers(excluding=node_id)
+        return self._rng.sample(peers, min(limit, len(peers)))
 
-    def near_peers(self, most: int) -> list[members_lib.Member]:
-        """Returns members of the own data centre, drawn at random."""
-        return self._draw(self._near(), most)
+    def near_peers(self, limit: int) -> list[members_lib.Member]:
+        """Returns random members of this node's data centre."""
+        return self._sample(self._near(), limit)
 
-    def far_peers(self, most: int) -> list[members_lib.Member]:
-        """Returns members of other data centres, drawn at random."""
-        return self._draw(self._far(), most)
+    def far_peers(self, limit: int) -> list[members_lib.Member]:
+        """Returns random members of other data centres."""
+        return self._sample(self._far(), limit)
 
     def far_fanout(self) -> float:
-        """Returns how many far members a node tells its news on average.
-
-        So many that the nodes of this data centre together tell one member of
-        each other data centre. All data centres do so, so each hears a piece
-        of news five times where there are six, and probes repair what is
-        missed. With peers drawn from everywhere, and tables from anybody, 194
-        nodes that started together in six data centres moved 0.7 MB each
-        between them; so it is 7 KB each.
+        """Returns the mean number of far members that a node pushes changes to.
+
+        With this number, the nodes of this data centre together push a change
+        to one member of each other data centre. All data centres do the same,
+        so with six data centres each one receives a change five times, and
+        probes sync the entries that were missed. When 194 nodes in six data
+        centres started together, with push peers drawn from all data centres
+        and tables fetched from any node, each node transferred 0.7 MB between
+        data centres; with this fanout it is 7 KB.
         """
-        elsewhere = {member.data_center for member in self._far()}
-        return len(elsewhere) / (len(self._near()) + 1)
+        data_centers = {member.data_center for member in self._far()}
+        return len(data_centers) / (len(self._near()) + 1)
 
     def longest_running(self, data_center: str) -> list[members_lib.Member]:
-        """Returns the members of a data centre that are believed alive.
+        """Returns the alive members of a data centre, oldest first.
 
-        The one that started first comes first. All nodes order them alike, so
-        work that a few do for all finds its few without an agreement, and a
-        node that restarts does not take its work back.
+        All nodes compute the same order, so tasks that a few nodes do for all
+        are assigned without a consensus protocol. A node that restarts has a
+        higher incarnation, so it does not take its tasks back.
         """
         found = [
             member
@@ -222,33 +239,36 @@
         return found
 
     def leave(self, now_s: float) -> Change:
-        """Marks this node as gone for good, by its own will."""
+        """Marks this node as having left on purpose."""
         return self.update_local_member(
             now_s, status=members_lib.Status.LEFT, draining=True
         )
 
-    def _patience_s(self) -> float:
+    def _suspicion_timeout_s(self) -> float:
         scale = max(1.0, math.log10(max(1, len(self._members))))
         periods = self._timing.suspicion_periods * scale
         return periods * self._timing.period_s
 
-    def _refute(self, rumor: members_lib.Member, now_s: float) -> Change | None:
-        mine = self._local
+    def _refute(
+        self, claimed: members_lib.Member, now_s: float
+    ) -> Change | None:
+        local = self._local
         if self._local.status is members_lib.Status.LEFT:
             return None
-        if rumor.incarnation > mine.incarnation:
-            # Our wall clock stepped back since the last start: the old
-            # process's entry would win for ever. Go above it.
+        if claimed.incarnation > local.incarnation:
+            # This VM's wall clock was set back since the previous process
+            # started. That process's entry would win for ever, so the
+            # incarnation is raised above it.
             self._local = dataclasses.replace(
-                mine, incarnation=rumor.incarnation + 1
+                local, incarnation=claimed.incarnation + 1
             )
             return self.update_local_member(now_s)
-        same = rumor.to_entry().version <= mine.to_entry().version
-        if same or rumor.incarnation < mine.incarnation:
+        not_newer = claimed.to_entry().version <= local.to_entry().version
+        if not_newer or claimed.incarnation < local.incarnation:
             return None
         self._refuted += 1
         self._local = dataclasses.replace(
-            mine, revision=max(mine.revision, rumor.revision)
+            local, revision=max(local.revision, claimed.revision)
         )
         return self.update_local_member(now_s)
 
@@ -270,27 +290,27 @@
             self._since_s[member.node_id] = now_s
         return Change(member, before.status if before else None)
 
-    def _forget(self, node_id: str) -> None:
+    def _remove(self, node_id: str) -> None:
         del self._members[node_id]
         del self._since_s[node_id]
         self._table.remove(node_id)
 
-    def _draw(
-        self, members: list[members_lib.Member], most: int
+    def _sample(
+        self, members: list[members_lib.Member], limit: int
     ) -> list[members_lib.Member]:
-        return self._rng.sample(members, min(most, len(members)))
+        return self._rng.sample(members, min(limit, len(members)))
 
     def _near(self) -> list[members_lib.Member]:
-        mine = self._local.data_center
-        return [m for m in self._others("") if m.data_center == mine]
+        local_dc = self._local.data_center
+        return [m for m in self._peers("") if m.data_center == local_dc]
 
     def _far(self) -> list[members_lib.Member]:
-        mine = self._local.data_center
-        return [m for m in self._others("") if m.data_center != mine]
+        local_dc = self._local.data_center
+        return [m for m in self._peers("") if m.data_center != local_dc]
 
-    def _others(self, besides: str) -> list[members_lib.Member]:
+    def _peers(self, excluding: str) -> list[members_lib.Member]:
         return [
             m
             for m in self.usable()
-            if m.node_id not in (self._local.node_id, besides)
+            if m.node_id not in (self._local.node_id, excluding)
         ]
--- a/packages/burdockfront/src/burdockfront/probe_order.py
+++ b/packages/burdockfront/src/burdockfront/probe_order.py
@@ -1,15 +1,17 @@
-"""Which member is probed next.
-
-Each member is probed within one round, in shuffled order. Most probes stay in
-the own data centre, because ways between data centres are paid for by the byte;
-one in four leaves it, so that the loss of a whole data centre is found, and
-what the pushes between them missed is repaired. Where a member of another data
-centre was not reached, the others of that data centre come first, until one of
-them answers: found out one by one, the members of a lost data centre of 194
-nodes in six were all known to be gone after 33 s, and so after 11 s.
-
-The dead are probed now and then, so that regions that lost each other find each
-other again.
+"""Selection of the member to probe in each period.
+
+Each member is probed once per round, in shuffled order. Most probes stay in the
+local data centre, because traffic between data centres is charged by the byte.
+One in four goes to another data centre; this detects the failure of a whole
+data centre and syncs the entries that pushes between data centres missed.
+
+After a member of another data centre was not reached, the remaining members of
+that data centre are probed first until one of them answers. With 194 nodes in
+six data centres, the failure of all members of one was known after 11 s this
+way; found one by one in the usual order, it took 33 s.
+
+Dead members are probed occasionally, so regions that were partitioned from each
+other reconnect.
 """
 
 import dataclasses
@@ -22,13 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeRates:
-    """How often a probe goes to whom.
+    """Periods between probes of dead members and of other data centres.
 
     Attributes:
-        dead_every: Every so many periods a dead member is probed.
-        far_every: Every so many periods a member of another data centre is
-            probed: each of them is then asked once in four seconds even if
-            nobody else of its own is left, well before callers' deadlines.
+        dead_every: Number of periods between probes of dead members.
+        far_every: Number of periods between probes of members of other data
+            centres. With 4, each of those members is probed once in four
+            seconds even if it is the last one of its data centre, which is
+            well before callers' deadlines.
     """
 
     dead_every: int = 5
@@ -39,8 +42,8 @@
     """The order in which one node probes the members.
 
     Args:
-        data_center: Where this node runs.
-        rates: How often a probe goes to whom.
+        data_center: Data centre of this node.
+        rates: Periods between probes of dead members and of other data centres.
         rng: Source of randomness.
     """
 
@@ -48,80 +51,83 @@
         self._data_center = data_center
         self._rates = rates
         self._rng = rng
-        # Nodes that start together would send their far probes together.
+        # A random offset, or nodes that start together would also send their
+        # probes to other data centres together.
         self._periods = rng.randrange(rates.far_every)
         self._near_round: list[str] = []
         self._far_round: list[str] = []
-        # A data centre of which a member was not reached, if there is one.
-        self._doubted = ""
+        # A data centre with a member that was not reached; empty for none.
+        self._suspect_dc = ""
 
     def next(
-        self, others: Iterable[members_lib.Member]
+        self, peers: Iterable[members_lib.Member]
     ) -> members_lib.Member | None:
         """Returns the member to probe in this period.
 
         Args:
-            others: All remembered members but this node.
+            peers: All known members except this node.
         """
         self._periods += 1
-        by_name = {member.node_id: member for member in others}
-        living = [m for m in by_name.values() if not m.gone]
-        dead = [m for m in by_name.values() if m.gone]
+        by_id = {member.node_id: member for member in peers}
+        usable = [m for m in by_id.values() if not m.ended]
+        dead = [m for m in by_id.values() if m.ended]
         if dead and self._periods % self._rates.dead_every == 0:
             return self._rng.choice(dead)
-        return self._next_doubted(living) or self._next_living(by_name, living)
+        return self._next_of_suspect_dc(usable) or self._next_in_round(
+            by_id, usable
+        )
 
     def record_failure(self, member: members_lib.Member) -> None:
-        """Notes that nobody reached a member."""
+        """Records that a member was not reached, directly or indirectly."""
         if self._is_far(member):
-            self._doubted = member.data_center
+            self._suspect_dc = member.data_center
 
     def record_answer(self, member: members_lib.Member) -> None:
-        """Notes that a member answered."""
-        if member.data_center == self._doubted:
-            self._doubted = ""
+        """Records that a member answered a probe."""
+        if member.data_center == self._suspect_dc:
+            self._suspect_dc = ""
 
-    def _next_doubted(
-        self, living: list[members_lib.Member]
+    def _next_of_suspect_dc(
+        self, usable: list[members_lib.Member]
     ) -> members_lib.Member | None:
         """Returns another member of a data centre that did not answer."""
         found = [
             member
-            for member in living
-            if member.data_center == self._doubted
+            for member in usable
+            if member.data_center == self._suspect_dc
             and member.status is members_lib.Status.ALIVE
         ]
         if found:
             return self._rng.choice(found)
-        self._doubted = ""
+        self._suspect_dc = ""
         return None
 
-    def _next_living(
+    def _next_in_round(
         self,
-        by_name: dict[str, members_lib.Member],
-        living: list[members_lib.Member],
+        by_id: dict[str, members_lib.Member],
+        usable: list[members_lib.Member],
     ) -> members_lib.Member | None:
         far_turn = self._periods % self._rates.far_every == 0
-        near = self._next_of(self._near_round, by_name, living, self._is_near)
+        near = self._next_of(self._near_round, by_id, usable, self._is_near)
         if near is not None and not far_turn:
             return near
-        far = self._next_of(self._far_round, by_name, living, self._is_far)
+        far = self._next_of(self._far_round, by_id, usable, self._is_far)
         return far or near
 
     def _next_of(
         self,
-        names: list[str],
-        by_name: dict[str, members_lib.Member],
-        living: list[members_lib.Member],
+        node_ids: list[str],
+        by_id: dict[str, members_lib.Member],
+        usable: list[members_lib.Member],
         belongs: Callable[[members_lib.Member], bool],
     ) -> members_lib.Member | None:
-        """Returns the next member of a round, which begins anew at its end."""
-        if not names:
-            names += [m.node_id for m in living if belongs(m)]
-            self._rng.shuffle(names)
-        while names:
-            member = by_name.get(names.pop())
-            if member is not None and not member.gone:
+        """Returns the next member of a round; starts a new round at its end."""
+        if not node_ids:
+            node_ids += [m.node_id for m in usable if belongs(m)]
+            self._rng.shuffle(node_ids)
+        while node_ids:
+            member = by_id.get(node_ids.pop())
+            if member is not None and not member.ended:
                 return member
         return None
 
