--- a/tests/properties/test_exchange.py
+++ b/tests/properties/test_exchange.py
@@ -1,9 +1,10 @@
 """Membership and configuration under loss, repetition, reordering, restart.
 
 Nodes exchange table entries through a network that keeps every message and
-delivers any of them at any time, also again. Versions a node has seen never
-go back; after one quiet exchange all tables are equal; a member that was
-declared dead does not come back by an old message.
+delivers any of them at any time, also repeatedly. Versions that a node has
+stored never decrease; once the nodes exchange all entries without faults, all
+tables are equal; an old message does not revive a member that was declared
+dead.
 """
 
 import random
@@ -24,7 +25,7 @@
 
 
 class Exchange(stateful.RuleBasedStateMachine):
-    """Three nodes with a network that loses, repeats and reorders."""
+    """Three nodes on a network that loses, repeats and reorders messages."""
 
     def __init__(self):
         super().__init__()
@@ -36,21 +37,23 @@
         self.policy_mail = []
         self.revision = 0
         self.seen = {}
-        self.in_force = dict.fromkeys(_NAMES, 0)
+        self.applied_revisions = dict.fromkeys(_NAMES, 0)
         for name in _NAMES:
             self._start(name)
 
     def _start(self, name):
         self.incarnations[name] += 1
-        me = builders.a_member(
+        local = builders.a_member(
             name,
             incarnation=self.incarnations[name],
             boot_id=f"{name}-{self.incarnations[name]}",
         )
-        self.nodes[name] = membership.Membership(me, _TIMING, random.Random(1))
+        self.nodes[name] = membership.Membership(
+            local, _TIMING, random.Random(1)
+        )
         self.configurations[name] = configuration.Configuration()
         self.seen = {k: v for k, v in self.seen.items() if k[0] != name}
-        self.in_force[name] = 0
+        self.applied_revisions[name] = 0
 
     @stateful.rule(name=_name)
     def send_all(self, name):
@@ -89,7 +92,7 @@
 
     @stateful.rule(name=_name, allowance=strategies.integers(0, 30))
     def operator_changes(self, name, allowance):
-        # Above 16 is not valid: it must be passed on and not applied.
+        # Allowances above 16 are invalid: passed on to peers, but not applied.
         self.revision += 1
         document = {"service": "fees", "retry": {"allowance": allowance}}
         entry = configuration.entry_of(
@@ -98,7 +101,7 @@
         self.configurations[name].merge(entry, self.now_s)
 
     @stateful.invariant()
-    def versions_never_go_back(self):
+    def stored_versions_never_decrease(self):
         for name, node in self.nodes.items():
             for entry in node.table.entries():
                 before = self.seen.get((name, entry.key), ())
@@ -106,20 +109,21 @@
                 self.seen[(name, entry.key)] = entry.version
 
     @stateful.invariant()
-    def policies_in_force_never_go_back(self):
+    def applied_revisions_never_decrease(self):
         for name, known in self.configurations.items():
             applied = known.applied().get("fees")
             revision = applied.revision if applied else 0
-            assert revision >= self.in_force[name]
-            self.in_force[name] = revision
+            assert revision >= self.applied_revisions[name]
+            self.applied_revisions[name] = revision
 
     @stateful.invariant()
-    def every_node_believes_itself_alive(self):
+    def each_node_is_alive_in_its_own_view(self):
         for name, node in self.nodes.items():
             assert node.get(name).status is members.Status.ALIVE
 
     def teardown(self):
-        # A quiet network: two rounds, because a refutation is news itself.
+        # The network delivers everything from now on. One round is not enough,
+        # since a refutation is a change that must spread as well.
         for _ in range(3):
             for name in _NAMES:
                 for other in _NAMES:
@@ -150,11 +154,11 @@
 )
 
 
-def test_old_message_does_not_resurrect_a_dead_member():
-    # A node starts and hears of a death first, then an older "alive" from a
-    # slow peer. Taking it for news would send calls to a dead server.
-    me = builders.a_member("n1")
-    node = membership.Membership(me, _TIMING, random.Random(1))
+def test_old_message_does_not_revive_a_dead_member():
+    # A node starts and receives a member's death first, then an older "alive"
+    # from a slow peer. Accepting it would send calls to a dead server.
+    local = builders.a_member("n1")
+    node = membership.Membership(local, _TIMING, random.Random(1))
     alive = builders.a_member("n2", revision=3)
     dead = builders.a_member("n2", revision=3, status=members.Status.DEAD)
     node.merge(dead.to_entry(), 0.0)
@@ -162,15 +166,15 @@
     assert node.get("n2").status is members.Status.DEAD
 
 
-def test_live_node_refutes_its_suspicion_everywhere():
-    me = builders.a_member("n1")
-    node = membership.Membership(me, _TIMING, random.Random(1))
-    rumor = builders.a_member("n1", status=members.Status.SUSPECT)
-    change = node.merge(rumor.to_entry(), 0.0)
-    assert change.member.to_entry().version > rumor.to_entry().version
+def test_refutation_of_a_suspicion_has_a_higher_version():
+    local = builders.a_member("n1")
+    node = membership.Membership(local, _TIMING, random.Random(1))
+    claimed = builders.a_member("n1", status=members.Status.SUSPECT)
+    change = node.merge(claimed.to_entry(), 0.0)
+    assert change.member.to_entry().version > claimed.to_entry().version
 
 
-def test_digests_find_exactly_the_differing_buckets():
+def test_only_entries_of_differing_buckets_are_offered():
     first = configuration.Configuration()
     second = configuration.Configuration()
     for number in range(50):
