--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Which incarnation of a backend server is believed to be in service."""
+"""Which incarnation of a backend server is assumed to be in service."""
 
 import hypothesis
 from hypothesis import stateful
@@ -8,146 +8,149 @@
 from tests import builders
 
 
-def test_late_message_does_not_bring_a_leaving_server_back():
-    # The server said that it leaves and was acknowledged; a heartbeat that was
-    # held up on the way says "ready". Work handed over now would be lost.
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=1))
-    known.observe(builders.a_beat("i-1", sequence=3, leaving=True))
-    assert not known.observe(builders.a_beat("i-1", sequence=2))
-    assert known.observe(builders.a_beat("i-1", sequence=4))
-    assert known.current.leaving
-
-
-def test_new_start_takes_over_at_once():
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=9))
-    assert known.observe(builders.a_beat("i-2", sequence=1))
-    assert known.current.instance_id == "i-2"
-
-
-def test_single_late_message_of_the_one_before_changes_nothing():
-    # A cut held a heartbeat back. Its sender crashed, another incarnation
-    # registered at the same address, then the cut healed.
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=5))
-    known.observe(builders.a_beat("i-2", sequence=1))
-    assert not known.observe(builders.a_beat("i-1", sequence=6))
-    assert known.current.instance_id == "i-2"
-
-
-def test_server_that_lives_comes_back_with_its_second_message():
-    # After a restart of the node the first message was a late one of an
-    # incarnation that is gone; the one that lives must not be shut out.
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-2", sequence=4))
-    known.observe(builders.a_beat("i-1", sequence=9))
-    known.observe(builders.a_beat("i-2", sequence=5))
-    assert known.observe(builders.a_beat("i-2", sequence=6))
-    assert known.current.instance_id == "i-2"
-
-
-def test_end_without_a_word_before_counts_as_leaving():
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=1))
-    assert known.leave("i-1")
-    assert known.current.leaving
-
-
-def test_end_that_overtakes_the_first_heartbeat_is_remembered():
-    # A node restarts while its backend server leaves: the end arrives first,
-    # a heartbeat from before it second.
-    known = incarnations.IncarnationTracker()
-    assert not known.leave("i-1")
-    assert not known.observe(builders.a_beat("i-1", sequence=7))
-    assert known.current is None
-
-
-def test_one_that_another_answered_for_is_out_until_it_speaks_again():
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=1))
-    known.record_replaced("i-1")
-    assert known.current is None
-    assert known.observe(builders.a_beat("i-1", sequence=2))
-
-
-def test_restart_under_the_same_id_counts_at_once():
-    # A server crashes and starts again under its id. Its numbers start anew;
-    # taken for late messages, none of them would ever be believed.
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=40, born_ms=1000))
-    assert known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
-    assert known.current.born_ms == 9000
-    assert known.observe(builders.a_beat("i-1", sequence=2, born_ms=9000))
-
-
-def test_restart_under_the_id_of_one_that_left_takes_work():
-    # The leave was that of the start before, and holds for it alone.
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=4, born_ms=1000))
-    known.leave("i-1")
-    assert known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
-    assert not known.current.leaving
-    assert not known.observe(builders.a_beat("i-1", sequence=5, born_ms=1000))
-    assert known.current.born_ms == 9000
-
-
-def test_late_message_of_an_earlier_start_changes_nothing():
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
-    assert not known.observe(builders.a_beat("i-1", sequence=40, born_ms=1000))
-    assert known.current.born_ms == 9000
-
-
-def test_first_message_of_an_earlier_start_that_comes_late_changes_nothing():
-    # Its only heartbeat was held up until another server, under another id,
-    # was at work.
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-2", sequence=1, born_ms=9000))
-    assert not known.observe(builders.a_beat("i-1", sequence=1, born_ms=1000))
-    assert known.current.instance_id == "i-2"
-
-
-def test_restart_after_the_clock_was_set_back_is_believed_with_two_messages():
-    # Born "earlier" than the start that it follows, by its own clock. It must
-    # not be shut out for ever.
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=7, born_ms=9000))
-    assert not known.observe(builders.a_beat("i-1", sequence=1, born_ms=4000))
-    assert known.observe(builders.a_beat("i-1", sequence=2, born_ms=4000))
-    assert known.current.born_ms == 4000
-
+def test_late_heartbeat_does_not_revoke_leaving():
+    # The server announced that it leaves, and this was acknowledged. A delayed
+    # heartbeat says "ready". Requests handed over now would be lost.
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=1))
+    tracker.observe(builders.a_beat("i-1", sequence=3, leaving=True))
+    assert not tracker.observe(builders.a_beat("i-1", sequence=2))
+    assert tracker.observe(builders.a_beat("i-1", sequence=4))
+    assert tracker.current.leaving
+
+
+def test_new_incarnation_is_in_service_immediately():
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=9))
+    assert tracker.observe(builders.a_beat("i-2", sequence=1))
+    assert tracker.current.instance_id == "i-2"
+
+
+def test_single_late_heartbeat_of_a_replaced_incarnation_is_ignored():
+    # A network partition delayed a heartbeat. Its sender crashed, another
+    # incarnation registered at the same address, then the partition healed.
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=5))
+    tracker.observe(builders.a_beat("i-2", sequence=1))
+    assert not tracker.observe(builders.a_beat("i-1", sequence=6))
+    assert tracker.current.instance_id == "i-2"
+
+
+def test_running_server_returns_with_its_second_heartbeat():
+    # After a restart of the node, a late heartbeat of an incarnation that has
+    # ended takes effect. The running one must not be shut out.
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-2", sequence=4))
+    tracker.observe(builders.a_beat("i-1", sequence=9))
+    tracker.observe(builders.a_beat("i-2", sequence=5))
+    assert tracker.observe(builders.a_beat("i-2", sequence=6))
+    assert tracker.current.instance_id == "i-2"
+
+
+def test_announcement_to_leave_marks_the_incarnation_in_service():
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=1))
+    assert tracker.leave("i-1")
+    assert tracker.current.leaving
+
+
+def test_announcement_to_leave_before_the_first_heartbeat_is_kept():
+    # A node restarts while its backend server leaves: the announcement arrives
+    # first, a heartbeat that was sent before it second.
+    tracker = incarnations.IncarnationTracker()
+    assert not tracker.leave("i-1")
+    assert not tracker.observe(builders.a_beat("i-1", sequence=7))
+    assert tracker.current is None
+
+
+def test_replaced_incarnation_is_out_of_service_until_its_next_heartbeat():
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=1))
+    tracker.record_replaced("i-1")
+    assert tracker.current is None
+    assert tracker.observe(builders.a_beat("i-1", sequence=2))
+
+
+def test_restart_under_the_same_id_is_accepted_immediately():
+    # A server crashes and restarts under its id. Its sequence numbers start
+    # again; if they were taken for late ones, none would be accepted.
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=40, born_ms=1000))
+    assert tracker.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
+    assert tracker.current.born_ms == 9000
+    assert tracker.observe(builders.a_beat("i-1", sequence=2, born_ms=9000))
+
+
+def test_restart_under_the_id_of_one_that_left_accepts_work():
+    # The earlier incarnation left; this does not apply to the next one.
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=4, born_ms=1000))
+    tracker.leave("i-1")
+    assert tracker.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
+    assert not tracker.current.leaving
+    assert not tracker.observe(builders.a_beat("i-1", sequence=5, born_ms=1000))
+    assert tracker.current.born_ms == 9000
+
+
+def test_late_heartbeat_of_an_earlier_incarnation_is_ignored():
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
+    assert not tracker.observe(
+        builders.a_beat("i-1", sequence=40, born_ms=1000)
+    )
+    assert tracker.current.born_ms == 9000
+
+
+def test_late_first_heartbeat_of_an_earlier_incarnation_is_ignored():
+    # Its only heartbeat was delayed until another server, under another id,
+    # was in service.
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-2", sequence=1, born_ms=9000))
+    assert not tracker.observe(builders.a_beat("i-1", sequence=1, born_ms=1000))
+    assert tracker.current.instance_id == "i-2"
+
+
+def test_restart_after_the_clock_was_set_back_needs_two_heartbeats():
+    # By its own clock it started before its predecessor. It must not be shut
+    # out for ever.
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=7, born_ms=9000))
+    assert not tracker.observe(builders.a_beat("i-1", sequence=1, born_ms=4000))
+    assert tracker.observe(builders.a_beat("i-1", sequence=2, born_ms=4000))
+    assert tracker.current.born_ms == 4000
+
+
+def test_health_check_is_attributed_to_the_first_dated_incarnation():
+    tracker = incarnations.IncarnationTracker()
+    tracker.observe(builders.a_beat("i-1", sequence=-1))
+    assert tracker.observe(builders.a_beat("i-1", sequence=5, born_ms=1000))
+    assert tracker.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
+
 
-def test_what_health_told_is_of_the_first_start_that_tells_its_birth():
-    known = incarnations.IncarnationTracker()
-    known.observe(builders.a_beat("i-1", sequence=-1))
-    assert known.observe(builders.a_beat("i-1", sequence=5, born_ms=1000))
-    assert known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
-
-
-def test_end_that_overtook_the_first_heartbeat_holds_for_that_start_alone():
-    known = incarnations.IncarnationTracker()
-    known.leave("i-1")
-    assert not known.observe(builders.a_beat("i-1", sequence=7, born_ms=1000))
-    assert known.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
+def test_announcement_before_the_first_heartbeat_holds_for_one_incarnation():
+    tracker = incarnations.IncarnationTracker()
+    tracker.leave("i-1")
+    assert not tracker.observe(builders.a_beat("i-1", sequence=7, born_ms=1000))
+    assert tracker.observe(builders.a_beat("i-1", sequence=1, born_ms=9000))
 
 
 class StartsAndLateMessages(stateful.RuleBasedStateMachine):
-    """A server that starts again and again, and messages that come late.
+    """A server that restarts repeatedly, with heartbeats that arrive late.
 
-    The oracle is the server itself: which start lives, and which have left.
+    The oracle is the server itself: which incarnation runs, and which left.
     """
 
     def __init__(self):
         super().__init__()
-        self.known = incarnations.IncarnationTracker()
+        self.tracker = incarnations.IncarnationTracker()
         self.starts = 0
-        self.held: list[incarnations.Heartbeat] = []
+        self.delayed: list[incarnations.Heartbeat] = []
         self.left: set[tuple[str, int]] = set()
-        # Ends that were told before any message of their id. Nothing says
-        # which start they are about; the first that is heard is meant.
-        self.heard: set[str] = set()
-        self.ends_owed: set[str] = set()
+        # Announcements to leave that arrived before any heartbeat of their id.
+        # They do not say which incarnation leaves; the first one to be
+        # observed is meant.
+        self.observed: set[str] = set()
+        self.pending_leaves: set[str] = set()
         self.in_a_row = 0
         self.start(same_id=True)
 
@@ -168,54 +171,54 @@
 
     @stateful.rule()
     def deliver(self) -> None:
-        beat = self._next()
-        self._tell(beat)
+        heartbeat = self._next()
+        self._observe(heartbeat)
         self.in_a_row += 1
         if self.in_a_row >= 2 and not self._has_left():
-            current = self.known.current
-            assert current is not None, "the one that lives is in service"
+            current = self.tracker.current
+            assert current is not None, "the running incarnation is in service"
             assert (current.instance_id, current.born_ms) == self._name()
 
-    def _tell(self, beat: incarnations.Heartbeat) -> None:
-        self.known.observe(beat)
-        owed = beat.instance_id in self.ends_owed
-        if beat.leaving or owed:
-            self.left.add((beat.instance_id, beat.born_ms))
-        self.ends_owed.discard(beat.instance_id)
-        self.heard.add(beat.instance_id)
+    def _observe(self, heartbeat: incarnations.Heartbeat) -> None:
+        self.tracker.observe(heartbeat)
+        pending = heartbeat.instance_id in self.pending_leaves
+        if heartbeat.leaving or pending:
+            self.left.add((heartbeat.instance_id, heartbeat.born_ms))
+        self.pending_leaves.discard(heartbeat.instance_id)
+        self.observed.add(heartbeat.instance_id)
 
     @stateful.rule()
-    def hold_one_back(self) -> None:
-        self.held.append(self._next())
+    def hold_back(self) -> None:
+        self.delayed.append(self._next())
 
-    @stateful.precondition(lambda self: self.held)
+    @stateful.precondition(lambda self: self.delayed)
     @stateful.rule(data=strategies.data())
     def deliver_late(self, data: strategies.DataObject) -> None:
-        beat = data.draw(strategies.sampled_from(self.held))
-        before = self.known.current
-        self._tell(beat)
-        if self.in_a_row >= 2 and self._is_the_living_one(before):
-            current = self.known.current
-            assert self._is_the_living_one(current), "one message is nothing"
+        heartbeat = data.draw(strategies.sampled_from(self.delayed))
+        before = self.tracker.current
+        self._observe(heartbeat)
+        if self.in_a_row >= 2 and self._is_running(before):
+            current = self.tracker.current
+            assert self._is_running(current), "replaced by a single heartbeat"
         self.in_a_row = 0
 
     @stateful.rule()
     def leave(self) -> None:
         self.leaving = True
-        current = self.known.current
+        current = self.tracker.current
         if current is not None and self._name() == (
             current.instance_id,
             current.born_ms,
         ):
             self.left.add(self._name())
-        if self.id not in self.heard:
-            self.ends_owed.add(self.id)
-        self.known.leave(self.id)
+        if self.id not in self.observed:
+            self.pending_leaves.add(self.id)
+        self.tracker.leave(self.id)
         self.in_a_row = 0
 
     @stateful.invariant()
-    def who_left_takes_no_work(self) -> None:
-        current = self.known.current
+    def server_that_left_accepts_no_work(self) -> None:
+        current = self.tracker.current
         if current is not None:
             name = (current.instance_id, current.born_ms)
             assert current.leaving or name not in self.left
@@ -223,12 +226,10 @@
     def _name(self) -> tuple[str, int]:
         return (self.id, self.born_ms)
 
-    def _is_the_living_one(
-        self, believed: incarnations.Heartbeat | None
-    ) -> bool:
-        if believed is None:
+    def _is_running(self, current: incarnations.Heartbeat | None) -> bool:
+        if current is None:
             return False
-        return (believed.instance_id, believed.born_ms) == self._name()
+        return (current.instance_id, current.born_ms) == self._name()
 
     def _has_left(self) -> bool:
         return self.leaving or self._name() in self.left
@@ -238,12 +239,12 @@
 TestStartsAndLateMessages.settings = hypothesis.settings(max_examples=300)
 
 
-class LeavingNeverTakenBack(stateful.RuleBasedStateMachine):
-    """Whatever arrives in whatever order, who left is not in service again."""
+class LeavingNeverRevoked(stateful.RuleBasedStateMachine):
+    """No order of heartbeats makes a server that left accept work again."""
 
     def __init__(self):
         super().__init__()
-        self.known = incarnations.IncarnationTracker()
+        self.tracker = incarnations.IncarnationTracker()
         self.left: set[str] = set()
         self.sequences: dict[str, int] = {}
 
@@ -252,9 +253,9 @@
         sequence=strategies.integers(1, 30),
         leaving=strategies.booleans(),
     )
-    def hear(self, name: str, sequence: int, leaving: bool) -> None:
+    def heartbeat(self, name: str, sequence: int, leaving: bool) -> None:
         fresh = sequence > self.sequences.get(name, 0)
-        self.known.observe(builders.a_beat(name, sequence, leaving))
+        self.tracker.observe(builders.a_beat(name, sequence, leaving))
         if fresh:
             self.sequences[name] = sequence
             if leaving:
@@ -262,15 +263,15 @@
 
     @stateful.rule(name=strategies.sampled_from(["a", "b", "c"]))
     def leave(self, name: str) -> None:
-        self.known.leave(name)
+        self.tracker.leave(name)
         self.left.add(name)
 
     @stateful.invariant()
-    def who_left_takes_no_work(self) -> None:
-        current = self.known.current
+    def server_that_left_accepts_no_work(self) -> None:
+        current = self.tracker.current
         if current is not None and current.instance_id in self.left:
             assert current.leaving
 
 
-TestLeavingNeverTakenBack = LeavingNeverTakenBack.TestCase
-TestLeavingNeverTakenBack.settings = hypothesis.settings(max_examples=150)
+TestLeavingNeverRevoked = LeavingNeverRevoked.TestCase
+TestLeavingNeverRevoked.settings = hypothesis.settings(max_examples=150)
