--- a/packages/burdockfront/src/burdockfront/fingerprints.py
+++ b/packages/burdockfront/src/burdockfront/fingerprints.py
@@ -1,19 +1,19 @@
-"""Tells whether two requests ask for the same thing.
+"""Fingerprints of requests, equal for requests of equal content.
 
-A caller that repeats a request gives it a new id, so ids don't show that a
-request was here before. Its content does: method, host, path with query, body,
-and the credentials under which it is sent. Two callers who ask for one path
-under credentials of their own ask for different things.
+A caller that repeats a request gives it a new id, so ids cannot identify
+repeats. The content does: method, host, path with query, body and credentials.
+Requests for the same path under different credentials are different requests.
 """
 
 import hashlib
 from collections.abc import Iterable
 
-# Of 64 bits: among a million requests that are remembered at a time, two
-# different ones are taken for the same once in forty million times.
+# 64 bits: if a million requests are remembered at a time, two different ones
+# collide with a probability of one in forty million.
 _DIGEST_BYTES = 8
 _CREDENTIALS = frozenset(["authorization", "cookie"])
-# Stands between the parts, so that no two requests make the same bytes.
+# Each part is prefixed with its length, so different requests never encode to
+# the same bytes.
 _LENGTH_BYTES = 8
 
 
@@ -24,14 +24,14 @@
     headers: Iterable[tuple[str, str]],
     body: bytes,
 ) -> str:
-    """Returns a short text that is equal for requests of equal content.
+    """Returns the fingerprint of a request, in hexadecimal.
 
     Args:
         method: HTTP method.
-        host: Host that the caller named; its case does not matter.
+        host: Requested host; its case is ignored.
         target: Path and query.
-        headers: Names in lower case; only credentials count.
-        body: The whole body.
+        headers: Names in lower case, and values; only credentials are used.
+        body: The complete body.
     """
     credentials = [
         f"{name}: {value}" for name, value in headers if name in _CREDENTIALS
