--- a/packages/burdockfront/src/burdockfront/keyring.py
+++ b/packages/burdockfront/src/burdockfront/keyring.py
@@ -1,8 +1,8 @@
-"""Keys that can be replaced without a stop.
+"""Key ring for signing and authentication, with key rotation at run time.
 
-The first key signs, every key verifies. To replace a key: put the new one
-second on all nodes, then first, then drop the old one; each step is a reload
-(SIGHUP), never a restart.
+The first key signs; all keys verify. To rotate a key, add the new one as second
+on all nodes, then make it the first, then remove the old one. Each step is a
+reload (SIGHUP), not a restart.
 """
 
 import base64
@@ -19,9 +19,9 @@
     """Signs with the first key and verifies with any.
 
     Args:
-        keys: At least one, unless `open_ring`.
-        open_ring: Without keys: everything is accepted. Only for networks in
-            which nobody but nodes reaches the internal ports.
+        keys: At least one key, unless `open_ring`.
+        open_ring: Signs nothing and accepts everything. Only for networks in
+            which only nodes can reach the internal ports.
     """
 
     def __init__(self, keys: list[str], open_ring: bool = False):
@@ -30,15 +30,15 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether nothing is signed."""
+        """Whether payloads are neither signed nor verified."""
         return self._open
 
     def replace(self, keys: list[str]) -> None:
-        """Takes other keys, without a stop.
+        """Replaces the keys at run time.
 
         Raises:
-            SettingsError: There is none, or one is too short; the old keys
-                stay.
+            SettingsError: There is no key, or one is too short. The old keys
+                stay in use.
         """
         if not self._open:
             _check(keys)
@@ -48,15 +48,15 @@
         )
 
     def pack(self, payload: bytes) -> bytes:
-        """Returns a payload as it travels in front of its tag.
+        """Encodes a payload for sending in front of its tag.
 
-        Without keys it stays as it is: nobody has to copy it by hand, and
-        each byte is paid for between data centres.
+        Without keys it is not encoded: it is never copied by hand, and each
+        byte between data centres costs money.
         """
         return payload if self._open else base64.urlsafe_b64encode(payload)
 
     def unpack(self, packed: str) -> bytes:
-        """Returns the payload of its packed form."""
+        """Decodes a packed payload."""
         data = packed.encode()
         return data if self._open else base64.urlsafe_b64decode(data)
 
@@ -67,29 +67,29 @@
         return _tag(self._mac_keys[0], payload)
 
     def verify(self, payload: bytes, tag: str) -> bool:
-        """Tells whether any key made this tag, in constant time per key."""
+        """Whether any key made this tag, in constant time per key."""
         if self._open:
             return True
-        given = tag.encode()
+        presented = tag.encode()
         valid = False
         for mac_key in self._mac_keys:
             expected = _tag(mac_key, payload).encode()
-            valid |= hmac.compare_digest(expected, given)
+            valid |= hmac.compare_digest(expected, presented)
         return valid
 
     def accepts(self, key: str) -> bool:
-        """Tells whether a presented key is one of ours, in constant time."""
+        """Whether a presented key is in this ring, in constant time per key."""
         if self._open:
             return True
-        given = hashlib.sha256(key.encode()).digest()
+        presented = hashlib.sha256(key.encode()).digest()
         valid = False
         for own in self._keys:
             expected = hashlib.sha256(own).digest()
-            valid |= hmac.compare_digest(expected, given)
+            valid |= hmac.compare_digest(expected, presented)
         return valid
 
     def first(self) -> str:
-        """Returns the key to present to others."""
+        """Returns the key to present to other nodes."""
         return "" if self._open else self._keys[0].decode()
 
 
@@ -109,7 +109,7 @@
 
 
 def _tag(mac_key: bytes, payload: bytes) -> str:
-    """Returns a keyed BLAKE2b tag, cheaper than an HMAC object here."""
+    """Returns a keyed BLAKE2b tag, which is cheaper than HMAC here."""
     return hashlib.blake2b(
         payload, key=mac_key, digest_size=_TAG_BYTES
     ).hexdigest()
