--- a/packages/burdockfront/src/burdockfront/tickets.py
+++ b/packages/burdockfront/src/burdockfront/tickets.py
@@ -1,15 +1,17 @@
-"""Tickets: at most once without a store.
+"""Tickets: at-most-once execution without a store.
 
-A ticket names the one node incarnation that may ever hand its confirmation
-to a backend server. Whichever node a caller repeats the ticket to, the call
-goes to that incarnation, whose ledger knows whether it ran. A dead or
-replaced incarnation can never run it, a partition can't make a second owner,
-and a paused owner that wakes finds its own ledger unchanged. So the safety
-needs no agreement; the price is `unknown` for tickets of a node that died.
+A ticket names the one node incarnation that may hand its confirmation to a
+backend server. Any node that receives the ticket forwards the call to that
+incarnation, whose ledger knows whether the call ran. An incarnation that has
+exited or been replaced can never run it, a partition cannot create a second
+owner, and an owner that was paused finds its ledger unchanged. Safety therefore
+needs no agreement between nodes. The cost is the outcome `unknown` for tickets
+of a node that failed.
 
-What was weighed (docs/design/at-most-once.md): a record per confirmation in
-the platform service (its write rate caps confirmations, its outages stop
-them) and an owner by hash over the members (two views, two owners).
+Rejected alternatives (docs/design/at-most-once.md): a record per confirmation
+in the platform service, because its write rate limits confirmations and its
+outages stop them; and an owner chosen by a hash over the members, because two
+membership views give two owners.
 """
 
 import dataclasses
@@ -25,12 +27,12 @@
     """Permission for one incarnation to run one request at most once.
 
     Attributes:
-        nonce: Unique name.
+        nonce: Unique id.
         service: Service that the confirmation is for.
         owner: Id of the owning node.
-        boot_id: Names the process of that node; a restart has another one.
-        expires_s: Wall clock seconds after which it is not accepted. The
-            owner alone judges this, by its own clock.
+        boot_id: Id of that node's process; a restart changes it.
+        expires_s: Wall clock time in seconds after which it is not accepted.
+            Only the owner checks this, by its own clock.
     """
 
     nonce: str
@@ -41,7 +43,7 @@
 
 
 def encode(ticket: Ticket, keys: keyring_lib.KeyRing) -> str:
-    """Returns the text that callers use as `Idempotency-Key`."""
+    """Encodes a ticket as callers send it in `Idempotency-Key`."""
     payload = keys.pack(
         orjson.dumps(
             [
@@ -57,10 +59,10 @@
 
 
 def decode(text: str, keys: keyring_lib.KeyRing) -> Ticket:
-    """Reads a ticket.
+    """Decodes a ticket.
 
     Raises:
-        MalformedTicketError: It was not minted by this system.
+        MalformedTicketError: The ticket was not issued by this system.
     """
     payload, _, tag = text.rpartition(".")
     if not keys.verify(payload.encode(), tag):
