--- a/packages/burdockfront/src/burdockfront/ledger.py
+++ b/packages/burdockfront/src/burdockfront/ledger.py
@@ -1,19 +1,19 @@
-"""The owner's ledger: each ticket is handed to a backend server at most once.
+"""The owner's ledger: hands each ticket to a backend server at most once.
 
 States of a ticket at its owner:
 
     (absent) --begin--> RESERVED --hand_over--> RUNNING --finish--> FINISHED
-                            |--close--> CLOSED   (said not-run; never runs)
+                            |--close--> CLOSED   (answered not-run; never runs)
                             `--move---> MOVED    (a successor owns it)
 
 Invariant: only `hand_over` leads to a run, and only from RESERVED, which is
 entered only from absent. An entry stays until its ticket has expired, so a
-late repeat can't find an empty place and run a second time.
+late repeat always finds it and cannot run a second time.
 
-CLOSED exists because of two attempts with one ticket: the first is delayed in
-the network, the second is refused with `not-run`, then the first arrives. If
-it ran, the caller would have been told a lie. So the refusal closes the
-ticket, and the refused caller gets a fresh one with the refusal.
+CLOSED is needed when two attempts carry one ticket: the first is delayed in the
+network, the second is refused with `not-run`, then the first arrives. If the
+first ran, the `not-run` answer would be false. The refusal therefore closes the
+ticket, and the refused caller gets a new one with the refusal.
 """
 
 import dataclasses
@@ -22,14 +22,14 @@
 from burdockfront import outcomes
 from burdockfront import tickets
 
-# Entries outlive their ticket by this much, so that a request which was
-# checked just before the expiry still meets its entry.
+# Entries are kept this long after their ticket expires, so a request that was
+# checked just before the expiry still finds its entry.
 _GRACE_S = 30.0
 _ENTRY_BYTES = 400
 
 
 class Decision(enum.Enum):
-    """What to do with a ticket that arrived."""
+    """What to do with a received ticket."""
 
     RUN = "run"
     REPLAY = "replay"
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """The decision, with the kept answer or the successor ticket."""
+    """The decision, with the stored answer or the successor ticket."""
 
     decision: Decision
     answer: outcomes.Answer | None = None
@@ -56,14 +56,14 @@
 
 
 class Ledger:
-    """Tickets of one node incarnation.
+    """State of the tickets of one node incarnation.
 
     Args:
         node_id: The owner's id.
-        boot_id: The owner's process.
-        capacity_bytes: Memory for entries and kept answers. A full ledger
-            refuses new tickets rather than forget one, because a forgotten
-            ticket could run twice.
+        boot_id: Id of the owner's process.
+        capacity_bytes: Memory limit of entries and stored answers. A full
+            ledger refuses new tickets instead of evicting entries, because
+            an evicted ticket could run twice.
     """
 
     def __init__(
@@ -84,11 +84,11 @@
         return self._used_bytes
 
     def begin(self, ticket: tickets.Ticket, wall_s: float) -> Verdict:
-        """Decides what to do with a ticket, and reserves it when it may run.
+        """Decides what to do with a ticket, and reserves it if it may run.
 
         Args:
-            ticket: The ticket that arrived.
-            wall_s: The owner's wall clock, which must never step back.
+            ticket: The received ticket.
+            wall_s: The owner's wall clock time, which must never go back.
         """
         verdict = self.look_up(ticket, wall_s)
         if verdict.decision is Decision.RUN:
@@ -97,7 +97,7 @@
         return verdict
 
     def look_up(self, ticket: tickets.Ticket, wall_s: float) -> Verdict:
-        """Like `begin`, but reserves nothing: for status look-ups."""
+        """Like `begin`, but reserves nothing; for status queries."""
         entry = self._entries.get(ticket.nonce)
         if entry is not None:
             return _verdict_of(entry)
@@ -107,68 +107,76 @@
         return Verdict(Decision.RUN)
 
     def hand_over(self, nonce: str) -> None:
-        """Marks that the backend server is about to be handed the request."""
+        """Records that the request is about to go to the backend server."""
         entry = self._entries[nonce]
-        assert not entry.handed_over, "a ticket is handed over once"
+        assert not entry.handed_over, "a ticket is handed over at most once"
         assert entry.answer is None, "a closed ticket never runs"
         assert entry.moved_to is None, "a moved ticket never runs here"
         entry.handed_over = True
 
     def close(self, nonce: str, refusal: outcomes.Answer) -> None:
-        """Keeps a refusal: from now on this ticket never runs."""
+        """Stores a refusal; the ticket never runs from now on."""
         assert refusal.outcome is outcomes.Outcome.NOT_RUN
         entry = self._entries[nonce]
-        assert not entry.handed_over, "what was handed over may have run"
+        assert not entry.handed_over, (
+            "a ticket that was handed over may have run"
+        )
         entry.answer = refusal
 
     def record_backend_refusal(
         self, nonce: str, refusal: outcomes.Answer
     ) -> None:
-        """Keeps the backend server's own word that it ran nothing."""
+        """Stores a backend server's answer that it did not run the request."""
         assert refusal.outcome is outcomes.Outcome.NOT_RUN
         self._entries[nonce].answer = refusal
 
     def move(self, nonce: str, successor: str) -> None:
-        """Gives a ticket that has not run here to another owner for good.
+        """Transfers a ticket that has not run here to another owner for good.
 
-        Without the record, a caller that lost the answer and repeats here
-        would run it a second time beside the successor.
+        Without the record, a repeat here by a caller that lost the answer
+        would run a second time, in addition to the run at the successor.
         """
         entry = self._entries[nonce]
-        assert not entry.handed_over, "what was handed over may have run"
+        assert not entry.handed_over, (
+            "a ticket that was handed over may have run"
+        )
         assert entry.answer is None, "a closed ticket is not moved"
         entry.moved_to = successor
 
     def finish(self, nonce: str, answer: outcomes.Answer) -> None:
-        """Keeps the answer for repeats."""
+        """Stores the answer for repeats."""
         assert answer.outcome is not outcomes.Outcome.NOT_RUN
         entry = self._entries[nonce]
-        assert entry.handed_over, "only what was handed over has an answer"
+        assert entry.handed_over, (
+            "only a ticket that was handed over has an answer"
+        )
         entry.answer = answer
         self._used_bytes += len(answer.body)
 
     def expire(self, wall_s: float) -> int:
-        """Forgets entries whose ticket can't be accepted any more."""
-        old = [
+        """Removes entries of expired tickets and returns their number."""
+        expired = [
             nonce
             for nonce, entry in self._entries.items()
             if entry.expires_s + _GRACE_S < wall_s
         ]
-        for nonce in old:
+        for nonce in expired:
             entry = self._entries.pop(nonce)
             body_bytes = len(entry.answer.body) if entry.answer else 0
             self._used_bytes -= _ENTRY_BYTES + body_bytes
-        return len(old)
+        return len(expired)
 
     def _refusal(
         self, ticket: tickets.Ticket, wall_s: float
     ) -> outcomes.Answer | None:
-        mine = ticket.owner == self._node_id and ticket.boot_id == self._boot_id
-        if not mine or wall_s > ticket.expires_s:
+        owned = (
+            ticket.owner == self._node_id and ticket.boot_id == self._boot_id
+        )
+        if not owned or wall_s > ticket.expires_s:
             return outcomes.unknown(outcomes.Reason.TICKET_OWNER_GONE)
         if self._used_bytes >= self._capacity_bytes:
-            # Not `not-run`: the refusal is not kept, so this ticket may
-            # still run when a delayed attempt arrives after room was made.
+            # Not `not-run`: the refusal is not stored, so this ticket may
+            # still run if a delayed attempt arrives when there is room again.
             return outcomes.unknown(outcomes.Reason.OVERLOAD, 1.0)
         return None
 
