--- a/tests/quota_world.py
+++ b/tests/quota_model.py
@@ -1,7 +1,7 @@
 """A model of nodes that spend client accounts' quotas, in virtual time.
 
 The decisions are the product's own; what is modelled is who reaches whom, how
-long a message takes, and what callers ask for. `python -m tests.quota_world`
+long a message takes, and what callers ask for. `python -m tests.quota_model`
 compares ways to hold a quota over all nodes.
 """
 
--- a/tests/unit/test_crash_spells.py
+++ b/tests/unit/test_repeated_crashes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from burdockfront_bench import virtual_time
-from tests import crash_world
+from tests import crash_model
 
 _SEEDS = pytest.mark.parametrize("seed", range(5))
 # Three, and what is under way when the third one crashes.
@@ -18,9 +18,9 @@
 
 
 def _play(
-    seed: int, servers: int, load: crash_world.Load
-) -> crash_world.Result:
-    world = crash_world.World(seed, servers, load)
+    seed: int, servers: int, load: crash_model.Load
+) -> crash_model.Result:
+    world = crash_model.World(seed, servers, load)
     return virtual_time.run(world.play(_LENGTH_S))
 
 
@@ -30,9 +30,9 @@
 def test_one_request_crashes_few_servers_and_takes_no_other_with_it(
     seed, servers, callers
 ):
-    result = _play(seed, servers, crash_world.Load(deadly_callers=callers))
+    result = _play(seed, servers, crash_model.Load(deadly_callers=callers))
     assert result.crashes <= _CRASHES_ACCEPTED
-    assert result.quarantined == {crash_world.DEADLY}
+    assert result.quarantined == {crash_model.DEADLY}
     if servers > _CRASHES_ACCEPTED:
         served = result.innocent["served"] / result.innocent.total()
         assert served > 0.99, "there was always a server left"
@@ -43,7 +43,7 @@
     # Their requests are at work as long as the deadly one, lose their answers
     # with it, and are repeated at once to the servers that are left, where it
     # comes too: three crashes of each, as many as are held against the cause.
-    load = crash_world.Load(
+    load = crash_model.Load(
         innocent_per_s=60.0,
         tries=5,
         work_s=(0.3, 1.0),
@@ -52,4 +52,4 @@
     )
     result = _play(seed, 3, load)
     assert result.crashes <= _CRASHES_ACCEPTED
-    assert result.quarantined == {crash_world.DEADLY}
+    assert result.quarantined == {crash_model.DEADLY}
