--- a/tests/unit/test_incarnations.py
+++ b/tests/unit/test_incarnations.py
@@ -76,9 +76,13 @@
     # again; if they were taken for late ones, none would be accepted.
     tracker = incarnations.IncarnationTracker()
     tracker.observe(builders.a_heartbeat("i-1", sequence=40, born_ms=1000))
-    assert tracker.observe(builders.a_heartbeat("i-1", sequence=1, born_ms=9000))
+    assert tracker.observe(
+        builders.a_heartbeat("i-1", sequence=1, born_ms=9000)
+    )
     assert tracker.current.born_ms == 9000
-    assert tracker.observe(builders.a_heartbeat("i-1", sequence=2, born_ms=9000))
+    assert tracker.observe(
+        builders.a_heartbeat("i-1", sequence=2, born_ms=9000)
+    )
 
 
 def test_restart_under_the_id_of_one_that_left_accepts_work():
@@ -86,9 +90,13 @@
     tracker = incarnations.IncarnationTracker()
     tracker.observe(builders.a_heartbeat("i-1", sequence=4, born_ms=1000))
     tracker.leave("i-1")
-    assert tracker.observe(builders.a_heartbeat("i-1", sequence=1, born_ms=9000))
+    assert tracker.observe(
+        builders.a_heartbeat("i-1", sequence=1, born_ms=9000)
+    )
     assert not tracker.current.leaving
-    assert not tracker.observe(builders.a_heartbeat("i-1", sequence=5, born_ms=1000))
+    assert not tracker.observe(
+        builders.a_heartbeat("i-1", sequence=5, born_ms=1000)
+    )
     assert tracker.current.born_ms == 9000
 
 
@@ -106,7 +114,9 @@
     # was in service.
     tracker = incarnations.IncarnationTracker()
     tracker.observe(builders.a_heartbeat("i-2", sequence=1, born_ms=9000))
-    assert not tracker.observe(builders.a_heartbeat("i-1", sequence=1, born_ms=1000))
+    assert not tracker.observe(
+        builders.a_heartbeat("i-1", sequence=1, born_ms=1000)
+    )
     assert tracker.current.instance_id == "i-2"
 
 
@@ -115,23 +125,35 @@
     # out for ever.
     tracker = incarnations.IncarnationTracker()
     tracker.observe(builders.a_heartbeat("i-1", sequence=7, born_ms=9000))
-    assert not tracker.observe(builders.a_heartbeat("i-1", sequence=1, born_ms=4000))
-    assert tracker.observe(builders.a_heartbeat("i-1", sequence=2, born_ms=4000))
+    assert not tracker.observe(
+        builders.a_heartbeat("i-1", sequence=1, born_ms=4000)
+    )
+    assert tracker.observe(
+        builders.a_heartbeat("i-1", sequence=2, born_ms=4000)
+    )
     assert tracker.current.born_ms == 4000
 
 
 def test_health_check_is_attributed_to_the_first_dated_incarnation():
     tracker = incarnations.IncarnationTracker()
     tracker.observe(builders.a_heartbeat("i-1", sequence=-1))
-    assert tracker.observe(builders.a_heartbeat("i-1", sequence=5, born_ms=1000))
-    assert tracker.observe(builders.a_heartbeat("i-1", sequence=1, born_ms=9000))
+    assert tracker.observe(
+        builders.a_heartbeat("i-1", sequence=5, born_ms=1000)
+    )
+    assert tracker.observe(
+        builders.a_heartbeat("i-1", sequence=1, born_ms=9000)
+    )
 
 
 def test_announcement_before_the_first_heartbeat_holds_for_one_incarnation():
     tracker = incarnations.IncarnationTracker()
     tracker.leave("i-1")
-    assert not tracker.observe(builders.a_heartbeat("i-1", sequence=7, born_ms=1000))
-    assert tracker.observe(builders.a_heartbeat("i-1", sequence=1, born_ms=9000))
+    assert not tracker.observe(
+        builders.a_heartbeat("i-1", sequence=7, born_ms=1000)
+    )
+    assert tracker.observe(
+        builders.a_heartbeat("i-1", sequence=1, born_ms=9000)
+    )
 
 
 class StartsAndLateMessages(stateful.RuleBasedStateMachine):
