--- a/packages/burdockfront/src/burdockfront/routes.py
+++ b/packages/burdockfront/src/burdockfront/routes.py
@@ -1,11 +1,11 @@
-"""Routes: which service a request goes to, and how it may be treated.
+"""Routes: the service of a request, and its timeouts, rank and retry rules.
 
-Operators write one table for the whole system. It is taken as a whole, under a
-version that only grows, so a node never serves from parts of two tables, and
-never goes back within one life of its process whatever it hears from a slow
-peer or a stale read.
+Operators write one table for the whole system. A node applies it atomically,
+under a version that only increases. It never serves from parts of two tables,
+and within the lifetime of its process never returns to an older table that a
+slow peer or a stale read offers.
 
-The table travels between nodes as JSON in the shape of these classes.
+Nodes send the table to each other as JSON in the shape of these classes.
 """
 
 import dataclasses
@@ -19,13 +19,14 @@
 from burdockfront import accounts as accounts_lib
 from burdockfront import errors
 
-_MOST_RANK = accounts_lib.RANKS - 1
-# Tables of releases that knew no client accounts lack them silently.
+_MAX_RANK = accounts_lib.RANKS - 1
+# Format version of the table. Releases without client accounts drop them from a
+# table without an error, so their tables have to be recognised by the format.
 _FORM = 2
 
 
 class Repeat(enum.StrEnum):
-    """How often a request may run for one attempt of its caller."""
+    """How often a request may be executed per attempt of its caller."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at-most-once"
@@ -33,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """A service that serves a part of a route's requests."""
+    """A service and its weight in the split of a route's requests."""
 
     service: str
     weight: Annotated[float, pydantic.Field(gt=0)]
@@ -41,17 +42,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """What holds for requests whose path begins with a prefix.
+    """The settings of requests whose path begins with a prefix.
 
     Attributes:
         name: Name for operators.
         prefix: Beginning of the path; begins and ends with a slash.
-        repeat: How often a request may run.
-        shares: Services that serve it; one, or a weighted split.
-        timeout_s: After this the caller gets a final answer in any case.
-        target_latency_s: An answer within this time is worth its full value.
-        rank: How much it matters; 0 is shed last.
-        max_attempts: Backend servers that one request may be sent to.
+        repeat: How often a request may be executed.
+        shares: Services that serve it: a single one, or a weighted split.
+        timeout_s: Time after which the caller gets a final answer in any case.
+        target_latency_s: An answer within this time has its full value.
+        rank: Importance; requests of rank 0 are shed last.
+        max_attempts: Maximum number of backend servers that one request may be
+            sent to.
         public: Callers need no key.
     """
 
@@ -76,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on what a caller sends, how long it takes, and its idle time."""
 
     header_bytes: int = 16_384
     body_bytes: int = 1_000_000
@@ -86,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HealthPath:
-    """Where backend servers of a service answer for their health."""
+    """Path of the health check of a service's backend servers."""
 
     service: str
     path: str
@@ -97,12 +99,13 @@
     """All routes under one version.
 
     Attributes:
-        version: Grows with each change by an operator.
+        version: Increases with each change by an operator.
         hosts: Routes by host name.
-        limits: What callers may send.
-        health_paths: Where backend servers answer for their health.
-        accounts: Client accounts; without any, nobody needs a key.
-        form: Grows when tables say something that earlier releases drop.
+        limits: Limits on what callers send.
+        health_paths: Health check paths of backend servers.
+        accounts: Client accounts; if there are none, no caller needs a key.
+        form: Format version; increases when tables contain something that
+            earlier releases drop.
     """
 
     version: int
@@ -113,7 +116,7 @@
     form: int = _FORM
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the form that travels between nodes."""
+        """Returns the form that is sent between nodes."""
         return _ADAPTER.dump_python(self, mode="json")
 
 
@@ -121,11 +124,11 @@
 
 
 def table_from_json(data: Any) -> RouteTable:
-    """Reads a table that a peer sent.
+    """Parses a table that a peer sent.
 
     Raises:
-        InvalidInputError: It does not have the shape of a table, or comes
-            from a release that may have left client accounts out.
+        InvalidInputError: The data does not have the shape of a table, or comes
+            from a release that may have dropped client accounts.
     """
     if isinstance(data, dict) and data.get("form", 1) != _FORM:
         raise errors.InvalidInputError(
@@ -145,27 +148,27 @@
 
 
 def rank_of(priority: int) -> int:
-    """Returns an operator's priority as a rank that levels can express."""
-    return max(0, min(_MOST_RANK, priority))
+    """Converts an operator's priority to a rank within the range of levels."""
+    return max(0, min(_MAX_RANK, priority))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """The route of a request, and the service that this one goes to."""
+    """The route of a request, and the service selected for it."""
 
     route: Route
     service: str
 
 
 class RouteResolver:
-    """The table in force at one node.
+    """Looks up routes in the table that is active at one node.
 
     Args:
         rng: Source of randomness.
 
     Attributes:
-        limits: What callers may send now.
-        accounts: Whose keys are known now.
+        limits: Active limits on what callers send.
+        accounts: Active client accounts, whose keys are accepted.
     """
 
     def __init__(self, rng: random.Random):
@@ -179,31 +182,31 @@
 
     @property
     def table(self) -> RouteTable | None:
-        """The table in force; None while none is known."""
+        """The active table; None before the first one."""
         return self._table
 
     @property
     def version(self) -> int:
-        """Version in force; -1 while none is known."""
+        """Version of the active table; -1 before the first one."""
         return self._table.version if self._table else -1
 
     def health_path(self, service: str) -> str:
-        """Returns where a service answers for its health; empty: nowhere."""
-        known = self._table.health_paths if self._table else ()
-        for entry in known:
+        """Returns the health check path of a service; empty if it has none."""
+        entries = self._table.health_paths if self._table else ()
+        for entry in entries:
             if entry.service == service:
                 return entry.path
         return ""
 
     def knows_service(self, service: str) -> bool:
-        """Whether operators named a service."""
+        """Whether the active table names a service."""
         return service in self._services
 
     def accept(self, table: RouteTable) -> bool:
-        """Puts a table in force if it is newer than the one in force.
+        """Activates a table if it is newer than the active one.
 
         Returns:
-            Whether it was news.
+            Whether the table was newer.
         """
         if table.version <= self.version:
             return False
@@ -228,21 +231,25 @@
             {route.rank for route in self._by_prefix.values()},
             before,
         )
-        kept = self._splits
+        old_splits = self._splits
         self._splits = {}
         for key, route in self._by_prefix.items():
             if len(route.shares) > 1:
-                known = kept.get(key)
-                same = known is not None and known.shares == route.shares
+                old = old_splits.get(key)
+                same = old is not None and old.shares == route.shares
                 self._splits[key] = (
-                    known if known and same else _Split(route.shares, self._rng)
+                    old if old and same else _Split(route.shares, self._rng)
                 )
         return True
 
     def find(self, host: str, target: str) -> RouteMatch | None:
-        """Returns the route with the longest prefix of a target's path.
+        """Returns the route with the longest matching prefix, and a service.
 
-        A route that is split goes on to its next service.
+        On a route with a weighted split, this advances the split.
+
+        Args:
+            host: Host name, with or without a port.
+            target: Request target; its query is ignored.
         """
         key = self._key_of(host, target)
         if key is None:
@@ -251,7 +258,7 @@
         return RouteMatch(route, self._service_of(key, route))
 
     def route_of(self, host: str, target: str) -> Route | None:
-        """Returns the same route, and leaves its split as it is."""
+        """Returns the same route as `find`, without advancing its split."""
         key = self._key_of(host, target)
         return None if key is None else self._by_prefix[key]
 
@@ -280,12 +287,12 @@
 
 
 class _Split:
-    """Divides requests by weight, evenly over any stretch of them.
+    """Smooth weighted round robin over the services of a route.
 
-    Smooth weighted round robin: independent draws would be off by a tenth over
-    a few hundred requests, which is what each node sees of a route. All nodes
-    begin at a place of their own, or their first requests would all go to the
-    same service.
+    Any sequence of requests is divided by weight. Independent random draws
+    would be off by a tenth over a few hundred requests, which is what each node
+    receives of a route. Each node begins at a random position; otherwise the
+    first requests of all nodes would go to the same service.
     """
 
     def __init__(self, shares: tuple[Share, ...], rng: random.Random):
