--- a/packages/burdockfront/src/burdockfront/freshness.py
+++ b/packages/burdockfront/src/burdockfront/freshness.py
@@ -1,11 +1,12 @@
-"""How sure a node is that its table of routes is the newest.
-
-Few nodes ask the store; the others are told of changes. Silence then means that
-nothing has changed, or that whoever should tell is cut off, waits in vain, or
-believes that somebody else watches. So a node does not take silence for news:
-it knows when its table was last known to be the newest. The store's answers say
-so, and each message between nodes passes that age on (`Claim`), as it passes on
-the version.
+"""Freshness of a node's table of routes.
+
+Few nodes query the store; the other nodes receive changes from them by gossip.
+If no change arrives, nothing may have changed. Or the watcher is partitioned,
+waits for an answer that never comes, or assumes that another node watches.
+A node therefore does not infer from missing updates that its table is current,
+but tracks when it was last known to be the newest. Answers of the store confirm
+this, and each message between nodes carries the age of that confirmation
+(`Claim`) along with the version.
 """
 
 import dataclasses
@@ -13,12 +14,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """What a node says of its table.
+    """Version and age of a node's table, as it reports them to peers.
 
     Attributes:
-        version: In force there; -1 without a table.
-        age_s: How long ago it was known to be the newest; None: never, or the
-            node is of a release that does not say.
+        version: Version that is active there; -1 without a table.
+        age_s: Time since it was known to be the newest; None if it never was,
+            or if the node's release does not report it.
     """
 
     version: int
@@ -26,13 +27,14 @@
 
 
 class Freshness:
-    """When the table in force was last known to be the newest.
+    """The time at which the active table was last known to be the newest.
 
-    What was the newest at some time is no older than that once a newer table
-    has replaced it, so a confirmation stays true.
+    A newer table that replaces the active one is at least as fresh, so a
+    confirmation stays valid.
 
     Attributes:
-        source: Who confirmed it last: `store`, or the address of a peer.
+        source: Source of the latest confirmation: `store`, or the address of a
+            peer.
     """
 
     def __init__(self) -> None:
@@ -40,11 +42,11 @@
         self.source = ""
 
     def confirm(self, at_s: float, source: str) -> None:
-        """Notes that no newer table was known at some time.
+        """Records that no newer table was known at some time.
 
         Args:
-            at_s: That time, on the steady clock.
-            source: Who said so.
+            at_s: That time, on the monotonic clock.
+            source: The source of this information.
         """
         if self._confirmed_s is None or at_s > self._confirmed_s:
             self._confirmed_s = at_s
--- a/tests/unit/test_freshness.py
+++ b/tests/unit/test_freshness.py
@@ -1,4 +1,4 @@
-"""How long ago a node last knew that its table is the newest."""
+"""Time since a node's table of routes was last confirmed to be the newest."""
 
 import asyncio
 import random
@@ -14,15 +14,15 @@
 
 
 def test_age_counts_from_the_latest_confirmation_in_any_order():
-    known = freshness.Freshness()
-    assert known.age_s(9.0) is None
-    known.confirm(5.0, "store")
-    known.confirm(3.0, "10.0.0.2:1")
-    assert known.age_s(9.0) == 4.0
-    assert known.source == "store"
+    confirmed = freshness.Freshness()
+    assert confirmed.age_s(9.0) is None
+    confirmed.confirm(5.0, "store")
+    confirmed.confirm(3.0, "10.0.0.2:1")
+    assert confirmed.age_s(9.0) == 4.0
+    assert confirmed.source == "store"
 
 
-def test_claim_travels_with_and_without_an_age():
+def test_claim_survives_a_json_round_trip_with_and_without_an_age():
     for claim in (freshness.Claim(7, 0.25), freshness.Claim(-1, None)):
         assert repairs.claim_from_json(repairs.claim_to_json(claim)) == claim
 
@@ -32,29 +32,29 @@
 
 
 @pytest.mark.parametrize("age", ["old", -1.0, float("nan"), float("inf"), []])
-def test_age_that_makes_no_sense_is_refused(age):
+def test_invalid_age_is_rejected(age):
     with pytest.raises((TypeError, ValueError)):
         repairs.claim_from_json({"rv": 3, "ra": age})
 
 
 class _Node:
-    """A node's belief, without anybody who confirms it."""
+    """A node that is no watcher, whose store is unavailable."""
 
     def __init__(self) -> None:
         self.recorder = timeline.Recorder("n1", "dc1", 10)
-        self.belief = route_freshness.RouteFreshness(
+        self.freshness = route_freshness.RouteFreshness(
             routes.RouteResolver(random.Random(1)),
             self.recorder,
             lambda: route_freshness.Duty(
                 watching=False, store_away=True, nodes=10
             ),
-            self._ask,
+            self._query,
             random.Random(1),
         )
-        self.asked = 0
+        self.queries = 0
 
-    async def _ask(self) -> None:
-        self.asked += 1
+    async def _query(self) -> None:
+        self.queries += 1
 
     def events(self) -> list[timeline.Event]:
         return list(
@@ -62,17 +62,17 @@
         )
 
 
-def test_node_says_when_nobody_confirms_its_table_and_when_somebody_does():
-    """Guards against a table that is kept although it may long be old."""
+def test_missing_and_regained_confirmation_are_recorded():
+    """Guards against serving from a possibly outdated table without notice."""
 
     async def scenario() -> list[timeline.Event]:
         node = _Node()
-        node.belief.confirm(0.0, "10.0.0.2:1")
-        watching = asyncio.create_task(node.belief.watch_forever())
+        node.freshness.confirm(0.0, "10.0.0.2:1")
+        watching = asyncio.create_task(node.freshness.watch_forever())
         await asyncio.sleep(3 * route_freshness.UNCONFIRMED_S)
-        node.belief.heard("10.0.0.3:1", freshness.Claim(-1, 0.5))
+        node.freshness.heard("10.0.0.3:1", freshness.Claim(-1, 0.5))
         watching.cancel()
-        assert node.asked > 0
+        assert node.queries > 0
         return node.events()
 
     events = sorted(virtual_time.run(scenario()), key=lambda e: e.stamp)
@@ -84,10 +84,10 @@
     assert found.detail["source"] == "10.0.0.3:1"
 
 
-def test_peer_with_another_version_confirms_nothing():
+def test_claim_of_another_version_does_not_confirm_the_table():
     async def scenario() -> freshness.Claim:
         node = _Node()
-        node.belief.heard("10.0.0.3:1", freshness.Claim(4, 0.1))
-        return node.belief.claim()
+        node.freshness.heard("10.0.0.3:1", freshness.Claim(4, 0.1))
+        return node.freshness.claim()
 
     assert virtual_time.run(scenario()).age_s is None
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -1,4 +1,4 @@
-"""Who watches the store for all, whatever happens to those who did."""
+"""Selection of the store's watchers, and their replacement after failures."""
 
 import random
 
@@ -9,10 +9,10 @@
 from tests import builders
 
 
-def _place(data_centers: int, nodes: int) -> membership.Membership:
-    """Returns what the youngest node of a place knows of it."""
-    me = builders.a_member("me", incarnation=10_000, data_center="dc0")
-    known = membership.Membership(me, membership.Timing(), random.Random(1))
+def _membership(data_centers: int, nodes: int) -> membership.Membership:
+    """Returns the view of the newest of several nodes per data centre."""
+    local = builders.a_member("me", incarnation=10_000, data_center="dc0")
+    known = membership.Membership(local, membership.Timing(), random.Random(1))
     for number in range(data_centers * nodes):
         member = builders.a_member(
             f"n{number}",
@@ -23,12 +23,12 @@
     return known
 
 
-def _names(known: membership.Membership) -> set[str]:
+def _watchers(known: membership.Membership) -> set[str]:
     return {member.node_id for member in watchers.watchers_of(known)}
 
 
-def _turned_away(known: membership.Membership, name: str) -> None:
-    """Lets a member say that the store turns it away."""
+def _reject(known: membership.Membership, name: str) -> None:
+    """Makes a member report that the store rejects it."""
     member = known.get(name)
     entry = builders.a_member(
         name,
@@ -40,48 +40,50 @@
     known.merge(entry, 0.0)
 
 
-def test_node_that_knows_nobody_watches():
-    assert watchers.watches(_place(1, 0))
+def test_node_without_peers_watches():
+    assert watchers.watches(_membership(1, 0))
 
 
-def test_one_of_each_data_center_watches_where_there_are_many():
-    assert _names(_place(6, 32)) == {f"n{number}" for number in range(6)}
+def test_one_node_per_data_center_watches_if_there_are_many():
+    assert _watchers(_membership(6, 32)) == {
+        f"n{number}" for number in range(6)
+    }
 
 
 @pytest.mark.parametrize("data_centers", [1, 2, 3, 4])
-def test_five_watch_in_all_where_data_centers_are_few(data_centers):
-    assert len(_names(_place(data_centers, 8))) == 5
+def test_five_nodes_watch_if_data_centers_are_few(data_centers):
+    assert len(_watchers(_membership(data_centers, 8))) == 5
 
 
-def test_next_one_takes_the_place_of_a_watcher_that_is_suspected():
-    known = _place(6, 32)
+def test_suspected_watcher_is_replaced():
+    known = _membership(6, 32)
     known.suspect("n0", 1.0)
-    assert _names(known) == {"n6", "n1", "n2", "n3", "n4", "n5"}
+    assert _watchers(known) == {"n6", "n1", "n2", "n3", "n4", "n5"}
 
 
-def test_next_one_takes_the_place_of_a_watcher_that_is_turned_away():
-    known = _place(6, 32)
-    _turned_away(known, "n0")
-    assert _names(known) == {"n6", "n1", "n2", "n3", "n4", "n5"}
+def test_watcher_that_the_store_rejects_is_replaced():
+    known = _membership(6, 32)
+    _reject(known, "n0")
+    assert _watchers(known) == {"n6", "n1", "n2", "n3", "n4", "n5"}
 
 
-def test_outage_of_the_store_is_met_by_few_questions():
-    # The store is down and turns everybody away: each watcher says so, and the
-    # next one tries. With no bound, all nodes would ask in turn.
-    known = _place(6, 32)
+def test_few_nodes_query_the_store_during_its_outage():
+    # The store rejects all nodes. Each watcher reports this, and the next node
+    # tries. Without a bound, all nodes would query the store in turn.
+    known = _membership(6, 32)
     asked = set()
-    while new := _names(known) - asked:
+    while new := _watchers(known) - asked:
         asked |= new
         for name in new:
-            _turned_away(known, name)
+            _reject(known, name)
     assert len(asked) == 6 * 5
-    assert len(_names(known)) == 6, "somebody finds out when it is back"
+    assert len(_watchers(known)) == 6, "no watcher left to detect the recovery"
 
 
-def test_node_that_restarts_does_not_take_its_work_back():
-    # All nodes are restarted one after the other: each handing back would cost
-    # the store a read and a watch.
-    known = _place(6, 32)
+def test_restarted_node_does_not_become_a_watcher_again():
+    # All nodes are restarted one after the other. If each became a watcher
+    # again, this would cost the store a read and a watch per restart.
+    known = _membership(6, 32)
     entry = builders.a_member("n0", incarnation=5_000, data_center="dc0")
     known.merge(entry.to_entry(), 0.0)
-    assert _names(known) == {"n6", "n1", "n2", "n3", "n4", "n5"}
+    assert _watchers(known) == {"n6", "n1", "n2", "n3", "n4", "n5"}
