--- a/packages/burdockfront/src/burdockfront/configuration.py
+++ b/packages/burdockfront/src/burdockfront/configuration.py
@@ -1,12 +1,13 @@
-"""Configuration in force: accepted once, everywhere, never back.
+"""Replicated configuration: policy documents by service and revision.
 
-Operators' documents live in the platform's service, which numbers each change
-with a revision. A node takes a document only if its revision is higher than
-the one in force; it does not matter from whom it hears of it: a watcher, a
-peer, or its own read. A stale peer or a stale read can't take anything back.
+Operators' documents are stored in the platform's service, which assigns a
+revision to each change. A node accepts a document only if its revision is
+higher than the one it has, whether it comes from a watch of the service, a peer
+or its own read. A stale peer or a stale read therefore cannot undo a change.
 
-A document is validated before it is accepted. A node that can't apply one (an
-older release, say) keeps what is in force, says so, and `verify` lists it.
+A document is validated before it is applied. A node that cannot apply it, for
+example because of an older release, keeps the applied one and reports the
+rejection, which `verify` lists.
 """
 
 import dataclasses
@@ -19,14 +20,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Applied:
-    """A document in force.
+    """An applied document.
 
     Attributes:
         policy: The validated policy.
-        document: As it was written.
-        revision: The platform's revision.
-        change_id: The unique id of the write that made it.
-        since_s: Wall clock seconds at which this node put it in force.
+        document: The document as written.
+        revision: Revision that the platform's service assigned.
+        change_id: Unique id of the write that created this revision.
+        since_s: Wall clock seconds at which this node applied it.
     """
 
     policy: policy.Policy
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """A document that this node can't apply."""
+    """A document that this node cannot apply."""
 
     revision: int
     change_id: str
@@ -46,10 +47,10 @@
 
 
 class Configuration:
-    """The documents that one node knows and those it has in force.
+    """The documents that one node has received and those that it has applied.
 
     Args:
-        defaults: Fields of the policy of a service that has no document.
+        defaults: Policy fields of services without a document.
     """
 
     def __init__(self, defaults: dict[str, Any] | None = None) -> None:
@@ -65,7 +66,7 @@
         return self._table
 
     def policy_of(self, service: str) -> policy.Policy:
-        """Returns the policy in force, or the default one."""
+        """Returns the applied policy of a service, or the default one."""
         applied = self._applied.get(service)
         return applied.policy if applied else self._default(service)
 
@@ -79,31 +80,31 @@
         return found
 
     def applied(self) -> dict[str, Applied]:
-        """Returns all documents in force by service."""
+        """Returns all applied documents by service."""
         return dict(self._applied)
 
     def rejected(self) -> dict[str, Rejected]:
-        """Returns documents that could not be applied, by service."""
+        """Returns the documents that could not be applied, by service."""
         return dict(self._rejected)
 
     def revision(self) -> int:
-        """Returns the highest revision known."""
+        """Returns the highest revision received."""
         versions = [entry.version[0] for entry in self._table.entries()]
         return max(versions, default=0)
 
     def merge(self, entry: tables.Entry, wall_s: float) -> bool:
-        """Takes a document if it is newer than the one known.
+        """Stores a document if it is newer than the stored one, and applies it.
 
         Returns:
-            Whether it was news. Also true for news that can't be applied:
-            it still has to be passed on to nodes that can.
+            Whether it was newer. Also true for a document that cannot be
+            applied here: it still has to be passed on to nodes that can.
         """
-        in_force = self._applied.get(entry.key)
+        applied = self._applied.get(entry.key)
         if not self._table.merge(entry):
             return False
         revision = entry.version[0]
-        assert in_force is None or revision >= in_force.revision, (
-            "a document never goes back"
+        assert applied is None or revision >= applied.revision, (
+            "the applied revision of a document must not decrease"
         )
         self._apply(entry, revision, wall_s)
         return True
@@ -121,8 +122,8 @@
                     f"{parsed.service}."
                 )
         except errors.PolicyError as error:
-            why = str(error)
-            self._rejected[entry.key] = Rejected(revision, change_id, why)
+            reason = str(error)
+            self._rejected[entry.key] = Rejected(revision, change_id, reason)
             return
         self._rejected.pop(entry.key, None)
         self._applied[entry.key] = Applied(
@@ -142,7 +143,7 @@
     """Checks the revision that an operator's command is based on.
 
     Raises:
-        RevisionConflictError: Somebody else changed the document first.
+        RevisionConflictError: The document has been changed since `expected`.
     """
     if expected is not None and expected != found:
         raise errors.RevisionConflictError(document, expected, found)
--- a/tests/unit/test_platform_documents.py
+++ b/tests/unit/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""Values in the platform's service that nobody of ours wrote."""
+"""Values in the platform's service that another program wrote."""
 
 import asyncio
 import types
@@ -28,10 +28,10 @@
 
 
 @pytest.mark.parametrize("value", [None, 7, "x", [], {}, {"document": 3}])
-def test_value_that_is_no_document_stops_no_other_change(value):
-    # Somebody wrote a value of another shape below our prefix. The watchers
-    # failed on it each time they read it; no change reached any node any
-    # more, and a node that started was never ready.
+def test_value_that_is_no_document_does_not_block_other_changes(value):
+    # A value of another shape was written below this project's prefix. The
+    # watchers failed on it at each read, so no node received any further
+    # change, and a node that started never became ready.
     configuration = configuration_lib.Configuration()
 
     def merge(entry):
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     "value", [None, 7, [], {}, {"addresses": 3}, {"addresses": [1, None]}]
 )
-def test_value_that_is_no_list_of_seeds_hides_no_other_seed(value):
+def test_value_that_is_no_list_of_seeds_does_not_hide_other_seeds(value):
     values = {"burdockfront/seeds/dc1": value}
     values["burdockfront/seeds/dc2"] = {"addresses": ["10.0.0.1:1"]}
     seeds = seeds_lib.Seeds(_Platform(values), None, None)
--- a/tests/unit/test_state.py
+++ b/tests/unit/test_state.py
@@ -1,4 +1,4 @@
-"""Policy documents, leases, budgets, time line: shared state, alone."""
+"""Units of shared state: policies, configuration, leases, budgets, timeline."""
 
 import random
 
@@ -32,35 +32,35 @@
         policy.changed(document, path, value)
 
 
-def test_unknown_key_is_refused_with_the_remedy():
+def test_unknown_key_is_rejected_by_name():
     with pytest.raises(errors.PolicyError, match="retrys: unknown key"):
         policy.parse({"service": "fees", "retrys": {}})
 
 
-def test_class_is_changed_by_its_name():
+def test_class_is_selected_by_its_name():
     after = policy.changed({"service": "fees"}, "classes.browse.rank", 3)
     assert policy.parse(after).class_of("GET", "/").rank == 3
 
 
-def test_request_that_nobody_thought_of_is_the_least_important():
+def test_unmatched_request_is_in_the_least_important_class():
     assert policy.default("fees").class_of("PUT", "/x").name == "browse"
 
 
 def test_older_document_never_replaces_a_newer_one():
-    # A stale peer, or a stale read of the platform service, offers revision
-    # 3 after revision 5 is in force. Taking it would undo an accepted change.
-    known = configuration.Configuration()
-    assert known.merge(_document(5, 1), 0.0)
-    assert not known.merge(_document(3, 9), 1.0)
-    assert known.policy_of("fees").retry.allowance == 1
+    # A stale peer or a stale read of the platform's service offers revision 3
+    # after revision 5 was applied. Accepting it would undo a change.
+    documents = configuration.Configuration()
+    assert documents.merge(_document(5, 1), 0.0)
+    assert not documents.merge(_document(3, 9), 1.0)
+    assert documents.policy_of("fees").retry.allowance == 1
 
 
-def test_document_that_can_not_be_applied_is_reported_and_passed_on():
-    known = configuration.Configuration()
-    known.merge(_document(5, 1), 0.0)
-    assert known.merge(_document(6, 999), 1.0)
-    assert known.applied()["fees"].revision == 5
-    assert known.rejected()["fees"].revision == 6
+def test_invalid_document_is_reported_and_passed_on():
+    documents = configuration.Configuration()
+    documents.merge(_document(5, 1), 0.0)
+    assert documents.merge(_document(6, 999), 1.0)
+    assert documents.applied()["fees"].revision == 5
+    assert documents.rejected()["fees"].revision == 6
 
 
 def _document(revision: int, allowance: int):
@@ -73,9 +73,9 @@
         configuration.check_expected("fees", 7, 8)
 
 
-def test_holder_paused_past_its_lease_does_nothing():
-    # The process is paused for a minute and wakes up still believing in its
-    # lease. Its successor already acts. The token check stops it.
+def test_holder_paused_past_its_lease_does_not_act():
+    # The process is paused for a minute, resumes, and assumes that it still
+    # holds the lease while its successor acts already.
     holder = leases.LeaseHolder(margin_s=1.0)
     holder.record_grant(leases.Grant("seeds", 4, 10.0), requested_at_s=100.0)
     assert holder.token(105.0) == 4
@@ -83,14 +83,14 @@
         holder.token(160.0)
 
 
-def test_late_answer_to_an_old_request_does_not_extend_a_lease():
+def test_late_grant_with_an_older_token_does_not_extend_a_lease():
     holder = leases.LeaseHolder(margin_s=0.0)
     holder.record_grant(leases.Grant("seeds", 4, 10.0), requested_at_s=100.0)
     holder.record_grant(leases.Grant("seeds", 3, 10.0), requested_at_s=150.0)
     assert not holder.holds(120.0)
 
 
-def test_budget_bounds_calls_in_the_long_run():
+def test_budget_limits_the_long_term_call_rate():
     budget = platform_budget.CallBudget(2.0, 4)
     taken = sum(budget.take(0.1 * i) for i in range(1000))
     assert taken <= 4 + 2 * 100
@@ -106,9 +106,9 @@
     assert not backoff.open(20.0)
 
 
-def test_effect_never_stands_before_its_cause():
-    # The receiver's wall clock is ten seconds behind the sender's. Sorted by
-    # wall clock, the answer would stand before the request.
+def test_effect_is_sorted_after_its_cause():
+    # The receiver's wall clock is ten seconds behind the sender's. If events
+    # were sorted by wall clock, the receipt would come before the sending.
     sender = timeline.Recorder("a", "dc1", 10)
     receiver = timeline.Recorder("b", "dc1", 10)
     sent = sender.record(100.0, "sent", "r")
@@ -132,12 +132,13 @@
     assert len(recorder.select(wanted, 10)) == 1
 
 
-def test_clock_that_stepped_back_does_not_hide_a_restarted_node():
-    # The VM restarts with a clock in the past. Its peers remember the higher
-    # incarnation as dead; without the jump it would stay dead for a day.
-    me = builders.a_member("n1", incarnation=5)
-    mine = membership.Membership(me, membership.Timing(), random.Random(1))
+def test_restarted_node_is_alive_after_its_clock_was_set_back():
+    # The VM restarts with a clock in the past. Its peers retain the higher
+    # incarnation as dead. Unless the node raises its incarnation above that
+    # one, it would stay dead for a day.
+    local = builders.a_member("n1", incarnation=5)
+    node = membership.Membership(local, membership.Timing(), random.Random(1))
     old = builders.a_member("n1", incarnation=9, status=members.Status.DEAD)
-    change = mine.merge(old.to_entry(), 1.0)
+    change = node.merge(old.to_entry(), 1.0)
     assert change is not None
-    assert mine.local_member.incarnation > 9
+    assert node.local_member.incarnation > 9
