--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -1,9 +1,10 @@
-"""A service whose servers crash under one request, without a network.
+"""A simulation of a service whose servers crash under one request.
 
-The quarantine of each node as it is, under virtual time. Servers work on what
-they get side by side, crash some time after they began the deadly request, and
-are back later. Innocent callers ask once more when their answer is lost; the
-deadly one goes on asking, at any node.
+It runs the product's quarantine of each node in virtual time, without a
+network. Servers process requests concurrently, crash some time after they
+started the crashing request, and restart later. Innocent callers retry once
+when their answer is lost; the callers of the crashing request keep repeating it
+at any node.
 """
 
 import asyncio
@@ -20,45 +21,47 @@
 from burdockfront_node import quarantine as quarantine_lib
 from tests import builders
 
-DEADLY = "/deadly"
+CRASHING_TARGET = "/deadly"
 _LOST = outcomes.unknown(outcomes.Reason.LOST_ANSWER)
 _UNREACHABLE = outcomes.not_run(outcomes.Reason.UNREACHABLE)
-# A way between nodes, with a connection to be made; and a lost answer's way to
-# its caller, a new connection of the caller, and the repeat's way.
-_TELLING_S = 0.002
-_REPEATING_S = 0.004
-_DOWN_S = 1.3
-_DEADLY_EVERY_S = 0.2
+# Delay of a message between nodes, including the connection set-up.
+_GOSSIP_DELAY_S = 0.002
+# Delay of a retry: the loss reaches the caller, which opens a new connection
+# and sends the request again.
+_RETRY_DELAY_S = 0.004
+_RESTART_S = 1.3
+_CRASHING_INTERVAL_S = 0.2
 _REROUTES = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What is asked of a service.
+    """Load of a service.
 
     Attributes:
-        innocent_per_s: Innocent requests a second for each server.
-        tries: How often their callers ask when an answer is lost.
-        work_s: How long they take, between these.
-        crash_after_s: How long the deadly one runs before the crash.
-        deadly_callers: Callers who go on asking for it.
+        innocent_per_s: Innocent requests a second per server.
+        tries: Maximum attempts of an innocent caller when answers are lost.
+        work_s: Range of the service time of innocent requests.
+        crash_after_s: Range of the time from the start of the crashing
+            request to the crash.
+        crashing_callers: Callers that keep repeating the crashing request.
     """
 
     innocent_per_s: float = 20.0
     tries: int = 2
     work_s: tuple[float, float] = (0.05, 0.4)
     crash_after_s: tuple[float, float] = (0.002, 0.2)
-    deadly_callers: int = 1
+    crashing_callers: int = 1
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What became of a day.
+    """Result of a run.
 
     Attributes:
-        crashes: Servers that crashed.
-        quarantined: Targets that were refused for good.
-        innocent: Outcomes of innocent requests, by reason.
+        crashes: Number of server crashes.
+        quarantined: Targets that were quarantined.
+        innocent: Number of innocent requests by outcome.
     """
 
     crashes: int
@@ -67,22 +70,26 @@
 
 
 class Site:
-    """One node, and the server beside it."""
+    """One node and its server."""
 
-    def __init__(self, world: "World", number: int):
-        self.book = crashes.CrashTracker()
+    def __init__(self, simulation: "Simulation", number: int):
+        self.tracker = crashes.CrashTracker()
         recorder = timeline.Recorder(f"n{number}", "dc1", 10)
         self.quarantine = quarantine_lib.Quarantine(
-            f"boot-{number}", self.book, self._tell, recorder, self._is_gone
+            f"boot-{number}",
+            self.tracker,
+            self._gossip,
+            recorder,
+            self._is_down,
         )
         self.crashes = 0
-        self._world = world
+        self._simulation = simulation
         self._up = True
-        # In their order, so that a seed plays the same each time.
+        # A dict keeps the insertion order, so runs of a seed are reproducible.
         self._running: dict[asyncio.Future[None], None] = {}
 
     async def serve(self, attempt: calls.Attempt) -> outcomes.Answer:
-        """Runs an attempt if the quarantine allows."""
+        """Runs an attempt if the quarantine allows it."""
         refusal = await self.quarantine.enter(attempt)
         if refusal is not None:
             return refusal
@@ -99,9 +106,9 @@
         loop = asyncio.get_running_loop()
         crashed = loop.create_future()
         self._running[crashed] = None
-        rng = self._world.rng
-        load = self._world.load
-        if attempt.call.target == DEADLY:
+        rng = self._simulation.rng
+        load = self._simulation.load
+        if attempt.call.target == CRASHING_TARGET:
             after_s = rng.uniform(*load.crash_after_s)
             crash = loop.call_later(after_s, self._crash)
             await crashed
@@ -119,31 +126,31 @@
         for crashed in self._running:
             crashed.set_result(None)
         self._running = {}
-        asyncio.get_running_loop().call_later(_DOWN_S, self._come_back)
+        asyncio.get_running_loop().call_later(_RESTART_S, self._restart)
 
-    def _come_back(self) -> None:
+    def _restart(self) -> None:
         self._up = True
 
-    async def _is_gone(self, address: str) -> bool:
+    async def _is_down(self, address: str) -> bool:
         return not self._up
 
-    def _tell(self, entry: tables.Entry) -> None:
-        self.hear(entry)
+    def _gossip(self, entry: tables.Entry) -> None:
+        self.receive(entry)
         loop = asyncio.get_running_loop()
-        for other in self._world.sites:
-            loop.call_later(_TELLING_S, other.hear, entry)
+        for peer in self._simulation.sites:
+            loop.call_later(_GOSSIP_DELAY_S, peer.receive, entry)
 
-    def hear(self, entry: tables.Entry) -> None:
-        self.book.merge(entry, time.monotonic(), time.time())
+    def receive(self, entry: tables.Entry) -> None:
+        self.tracker.merge(entry, time.monotonic(), time.time())
 
 
-class World:
+class Simulation:
     """The service and its callers.
 
     Args:
-        seed: Seed of all chance.
-        servers: How many servers the service has.
-        load: What is asked of it.
+        seed: Seed of all random draws.
+        servers: Number of servers of the service.
+        load: Load of the service.
     """
 
     def __init__(self, seed: int, servers: int, load: Load):
@@ -156,34 +163,34 @@
         self._targets: dict[str, str] = {}
         self._quarantined: set[str] = set()
 
-    async def play(self, length_s: float) -> Result:
-        """Plays a day."""
-        deadly = [
-            asyncio.create_task(self._deadly_forever())
-            for _ in range(self.load.deadly_callers)
+    async def run(self, length_s: float) -> Result:
+        """Runs the load for a time."""
+        crashing = [
+            asyncio.create_task(self._crash_forever())
+            for _ in range(self.load.crashing_callers)
         ]
         sent = []
         until_s = time.monotonic() + length_s
         while time.monotonic() < until_s:
             await asyncio.sleep(self.rng.expovariate(self._innocent_per_s))
             sent.append(asyncio.create_task(self._send_innocent()))
-            self._look()
+            self._record_quarantined()
         await asyncio.gather(*sent)
-        for task in deadly:
+        for task in crashing:
             task.cancel()
         crashed = sum(site.crashes for site in self.sites)
         return Result(crashed, self._quarantined, self._innocent)
 
-    def _look(self) -> None:
+    def _record_quarantined(self) -> None:
         for site in self.sites:
-            for fingerprint in site.book.quarantined:
-                target = self._targets.get(fingerprint, DEADLY)
+            for fingerprint in site.tracker.quarantined:
+                target = self._targets.get(fingerprint, CRASHING_TARGET)
                 self._quarantined.add(target)
 
-    async def _deadly_forever(self) -> None:
+    async def _crash_forever(self) -> None:
         while True:
-            await self._ask(DEADLY)
-            await asyncio.sleep(self.rng.uniform(0, 2 * _DEADLY_EVERY_S))
+            await self._send(CRASHING_TARGET)
+            await asyncio.sleep(self.rng.uniform(0, 2 * _CRASHING_INTERVAL_S))
 
     async def _send_innocent(self) -> None:
         self._ids += 1
@@ -192,15 +199,15 @@
         tries = 0
         while answer.reason is not None and tries < self.load.tries:
             tries += 1
-            answer = await self._ask(target)
-            pause_s = min(answer.retry_after_s or 0.0, _DOWN_S)
+            answer = await self._send(target)
+            pause_s = min(answer.retry_after_s or 0.0, _RESTART_S)
             if answer.reason is outcomes.Reason.LOST_ANSWER:
-                pause_s = _REPEATING_S
+                pause_s = _RETRY_DELAY_S
             await asyncio.sleep(pause_s)
         self._innocent[answer.reason or "served"] += 1
 
-    async def _ask(self, target: str) -> outcomes.Answer:
-        """Asks one node after the other, as long as it ran nowhere."""
+    async def _send(self, target: str) -> outcomes.Answer:
+        """Tries one node after the other until the request has run."""
         self._ids += 1
         attempt = builders.an_attempt(f"r-{self._ids}", target=target)
         suspect = quarantine_lib.crash_watch_lib.suspect_of(attempt.call)
