--- a/tests/unit/test_accounts.py
+++ b/tests/unit/test_accounts.py
@@ -1,4 +1,4 @@
-"""Whose key a request bears, and how much its account matters."""
+"""Look-up of accounts by key, and ranks of requests."""
 
 import random
 
@@ -10,26 +10,26 @@
 from tests import builders
 
 
-def test_key_admits_its_holder_and_nobody_else():
-    book = accounts.AccountIndex(
+def test_key_belongs_to_one_account():
+    index = accounts.AccountIndex(
         (
             builders.an_account("acme", "k-acme"),
             builders.an_account("zeta", "k-zeta"),
         )
     )
-    assert book.holder_of("k-acme").name == "acme"
-    assert book.holder_of("k-zeta").name == "zeta"
+    assert index.holder_of("k-acme").name == "acme"
+    assert index.holder_of("k-zeta").name == "zeta"
 
 
 @pytest.mark.parametrize("key", ["", "k-none", "k-acme, k-acme", "K-ACME"])
-def test_keys_that_are_not_exactly_one_that_is_known_admit_nobody(key):
-    """Guards against lists of keys, and keys that are nearly right."""
-    book = accounts.AccountIndex((builders.an_account("acme", "k-acme"),))
-    assert book.holder_of(key) is None
+def test_unknown_or_inexact_keys_belong_to_no_account(key):
+    """Guards against accepting lists of keys and nearly correct keys."""
+    index = accounts.AccountIndex((builders.an_account("acme", "k-acme"),))
+    assert index.holder_of(key) is None
 
 
-def test_accounts_hold_no_key():
-    """Guards against keys in tables, which go to peers and into logs."""
+def test_accounts_contain_no_keys():
+    """Guards against keys in tables, which are sent to peers and logged."""
     table = builders.a_table(1, accounts=(builders.an_account("a", "secret"),))
     assert "secret" not in repr(table)
     assert "secret" not in str(table.to_json())
@@ -42,62 +42,62 @@
         [("acme", "k1"), ("zeta", "k1")],
     ],
 )
-def test_accounts_that_cannot_be_told_apart_are_turned_down(found):
-    """Guards against a key that admits whichever account comes last."""
+def test_ambiguous_accounts_are_rejected(found):
+    """Guards against a shared key that selects the last of its accounts."""
     with pytest.raises(errors.InvalidInputError) as caught:
         accounts.check(builders.an_account(*pair) for pair in found)
     assert "acme" in str(caught.value)
     assert "k1" not in str(caught.value)
 
 
-def test_rank_of_the_account_goes_before_that_of_the_route():
+def test_account_rank_takes_precedence_over_route_rank():
     first = builders.an_account("first", "k1", rank=0)
     usual = builders.an_account("usual", "k2", rank=1)
-    book = accounts.AccountIndex((first, usual), [0, 1, 2])
+    index = accounts.AccountIndex((first, usual), [0, 1, 2])
     ranked = [
-        book.rank_of(account, rank)
+        index.rank_of(account, rank)
         for account in (first, usual)
         for rank in (0, 1, 2)
     ]
     assert ranked == sorted(set(ranked))
 
 
-def test_confirmations_go_before_listings_within_an_account():
-    """Guards against an account's rank that wipes out the routes' order."""
+def test_confirmations_rank_before_listings_within_an_account():
+    """Guards against account ranks that override the order of routes."""
     ranks = [None, 0, 1, 2, 3, 4, 5, 6, 7]
     found = tuple(
         builders.an_account(f"a{rank}", f"k{rank}", rank=rank) for rank in ranks
     )
-    book = accounts.AccountIndex(found, [0, 1, 2])
+    index = accounts.AccountIndex(found, [0, 1, 2])
     for account in (*found, None):
-        assert book.rank_of(account, 0) < book.rank_of(account, 2) < 8
+        assert index.rank_of(account, 0) < index.rank_of(account, 2) < 8
 
 
-def test_routes_alone_rank_where_all_accounts_matter_alike():
+def test_only_route_ranks_count_if_all_accounts_have_one_rank():
     usual = builders.an_account("usual", "k", rank=1)
-    book = accounts.AccountIndex((usual,), [0, 2])
-    assert book.rank_of(usual, 2) == 2
-    assert book.rank_of(None, 1) == 1
+    index = accounts.AccountIndex((usual,), [0, 2])
+    assert index.rank_of(usual, 2) == 2
+    assert index.rank_of(None, 1) == 1
 
 
-def test_table_of_a_release_without_accounts_is_not_taken():
-    """Guards against accounts that vanish, and a door that is open to all."""
+def test_table_of_a_release_without_accounts_is_rejected():
+    """Guards against losing accounts, and with them the check of keys."""
     data = builders.a_table(4).to_json()
     del data["form"]
     with pytest.raises(errors.InvalidInputError, match="compatible releases"):
         routes.table_from_json(data)
 
 
-def test_table_from_a_peer_is_checked_like_one_from_the_store():
-    """Guards against two accounts of one key that a peer lets in."""
+def test_table_from_a_peer_is_checked():
+    """Guards against accounts with a shared key that come from a peer."""
     both = (builders.an_account("a", "k"), builders.an_account("b", "k"))
     data = builders.a_table(4, accounts=both).to_json()
     with pytest.raises(errors.InvalidInputError, match="one client account"):
         routes.table_from_json(data)
 
 
-def test_limit_is_new_where_it_came_into_force_and_not_at_a_start():
-    """Guards against a quota that is full again wherever a process starts."""
+def test_limit_is_new_after_an_update_but_not_at_process_start():
+    """Guards against a full quota at each start of a process."""
     book = routes.RouteBook(random.Random(1))
     limited = builders.an_account("acme", "k", rate_per_s=5.0)
     book.accept(builders.a_table(1, accounts=(limited,)))
