--- a/tests/unit/test_fingerprints.py
+++ b/tests/unit/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Requests are known again by their content, whatever their id is."""
+"""Fingerprints depend on the content of requests, not on their ids."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     return fingerprints.fingerprint_of(**{**fields, **changes})
 
 
-def test_repeat_under_another_id_is_known_again():
+def test_repeat_with_another_id_has_the_same_fingerprint():
     first = _fingerprint(headers=(("request-id", "a"), ("accept", "*/*")))
     repeat = _fingerprint(headers=(("request-id", "b"), ("accept", "text/*")))
     assert first == repeat
@@ -34,11 +34,11 @@
         {"headers": (("cookie", "session=one"),)},
     ],
 )
-def test_other_content_or_credentials_are_another_request(change):
+def test_other_content_or_credentials_change_the_fingerprint(change):
     assert _fingerprint(**change) != _fingerprint()
 
 
-def test_bytes_that_move_between_parts_make_another_request():
+def test_moving_bytes_between_parts_changes_the_fingerprint():
     assert _fingerprint(target="/a", body=b"bc") != _fingerprint(
         target="/ab", body=b"c"
     )
