--- a/tests/properties/test_at_most_once.py
+++ b/tests/properties/test_at_most_once.py
@@ -1,8 +1,7 @@
-"""At most once, against an oracle that counts runs.
+"""At-most-once execution, checked against an oracle that counts runs.
 
-Attempts with the same ticket reach owners late, twice and in any order;
-owners restart; answers are lost. The oracle is a list of what ran and of what
-callers were told.
+Attempts with the same ticket reach owners late, twice and in any order; owners
+restart; answers are lost. The oracle records each run and each answer.
 """
 
 import hypothesis
@@ -17,7 +16,7 @@
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """One owner that restarts; tickets minted for each of its processes."""
+    """One owner that restarts, and tickets issued for each of its processes."""
 
     def __init__(self):
         super().__init__()
@@ -26,7 +25,7 @@
         self.ledger = self._new_ledger()
         self.tickets = {}
         self.runs = dict.fromkeys(_NONCES, 0)
-        self.told_not_run = set()
+        self.answered_not_run = set()
         self.reserved = set()
         self.running = set()
 
@@ -34,7 +33,7 @@
         return ledger.Ledger("n1", f"b{self.boot}", capacity_bytes=1500)
 
     @stateful.rule(nonce=strategies.sampled_from(_NONCES))
-    def mint(self, nonce):
+    def issue(self, nonce):
         if nonce not in self.tickets:
             self.tickets[nonce] = builders.a_ticket(
                 nonce,
@@ -50,10 +49,10 @@
         if verdict.decision is ledger.Decision.RUN:
             self.reserved.add(nonce)
         elif verdict.answer is not None:
-            self._tell(nonce, verdict.answer.outcome)
+            self._record_answer(nonce, verdict.answer.outcome)
 
     @stateful.rule(nonce=strategies.sampled_from(_NONCES))
-    def slot_is_free(self, nonce):
+    def slot_becomes_free(self, nonce):
         if nonce in self.reserved:
             self.reserved.remove(nonce)
             self.ledger.hand_over(nonce)
@@ -65,7 +64,7 @@
         if nonce in self.reserved:
             self.reserved.remove(nonce)
             self.ledger.close(nonce, builders.a_refusal())
-            self._tell(nonce, "not-run")
+            self._record_answer(nonce, "not-run")
 
     @stateful.rule(nonce=strategies.sampled_from(_NONCES))
     def guard_moves(self, nonce):
@@ -92,10 +91,10 @@
         if not self.reserved and not self.running:
             self.ledger.expire(self.now_s)
 
-    def _tell(self, nonce, outcome):
+    def _record_answer(self, nonce, outcome):
         if outcome == "not-run":
-            assert self.runs[nonce] == 0, "told not-run of what ran"
-            self.told_not_run.add(nonce)
+            assert self.runs[nonce] == 0, "answered not-run after a run"
+            self.answered_not_run.add(nonce)
 
     @stateful.invariant()
     def runs_at_most_once(self):
@@ -103,7 +102,7 @@
 
     @stateful.invariant()
     def not_run_stays_true(self):
-        assert all(self.runs[nonce] == 0 for nonce in self.told_not_run)
+        assert all(self.runs[nonce] == 0 for nonce in self.answered_not_run)
 
 
 TestAtMostOnce = AtMostOnce.TestCase
@@ -112,11 +111,11 @@
 )
 
 
-def test_full_ledger_refuses_rather_than_forgets():
-    # Forgetting an old entry to make room would let its late repeat run.
-    small = ledger.Ledger("n1", "b1", capacity_bytes=400)
-    small.begin(builders.a_ticket("first"), 0.0)
-    verdict = small.begin(builders.a_ticket("second"), 0.0)
+def test_full_ledger_refuses_instead_of_evicting():
+    # Evicting an old entry to make room would let its late repeat run.
+    full_ledger = ledger.Ledger("n1", "b1", capacity_bytes=400)
+    full_ledger.begin(builders.a_ticket("first"), 0.0)
+    verdict = full_ledger.begin(builders.a_ticket("second"), 0.0)
     assert verdict.decision is ledger.Decision.REFUSE
     assert verdict.answer.outcome == "unknown"
 
