--- a/packages/burdockfront/src/burdockfront/crashes.py
+++ b/packages/burdockfront/src/burdockfront/crashes.py
@@ -95,7 +95,14 @@
 
 
 class Standing(enum.Enum):
-    """How a request is handled."""
+    """How a request is handled.
+
+    Attributes:
+        CLEAR: It runs as usual.
+        ALONE: It runs with no other suspect at the server.
+        PAUSED: It is refused for `Rules.pause_s`, then runs as `ALONE`.
+        QUARANTINED: It is refused until crashes expire.
+    """
 
     CLEAR = "clear"
     ALONE = "alone"
