--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -26,8 +26,8 @@
 from burdockfront_node import settings as settings_lib
 from burdockfront_node.controllers import directory as directory_lib
 from burdockfront_node.controllers import exchange as exchange_lib
-from burdockfront_node.controllers import other_nodes
 from burdockfront_node.controllers import peer_link
+from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import (
     quarantine_keeper as quarantine_keeper_lib,
 )
@@ -128,7 +128,7 @@
             link,
             recorder,
             self._store_returned,
-            other_nodes.OtherNodes(self.exchange),
+            peer_notifier.ExchangePeerNotifier(self.exchange),
             rng,
         )
         self._joining = route_joining_lib.RouteJoining(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/other_nodes.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/peer_notifier.py
@@ -5,7 +5,7 @@
 from burdockfront_node.controllers import exchange as exchange_lib
 
 
-class Others(Protocol):
+class PeerNotifier(Protocol):
     """Whom a watch tells of what it learns."""
 
     def tell_routes(self, teller: str) -> None:
@@ -22,7 +22,7 @@
         """Returns how many nodes are known."""
 
 
-class OtherNodes:
+class ExchangePeerNotifier:
     """Tells the other nodes by the exchange."""
 
     def __init__(self, exchange: exchange_lib.Exchange):
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -34,8 +34,8 @@
 from burdockfront import freshness
 from burdockfront import routes
 from burdockfront import timeline
-from burdockfront_node.controllers import other_nodes
 from burdockfront_node.controllers import peer_link
+from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import route_checks
 from burdockfront_node.controllers import route_freshness
 from burdockfront_node.controllers import route_intake
@@ -90,7 +90,7 @@
         link: peer_link.PeerLink,
         recorder: timeline.Recorder,
         on_return: Callable[[], None],
-        others: other_nodes.Others,
+        others: peer_notifier.PeerNotifier,
         rng: random.Random,
     ):
         self._others = others
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -33,7 +33,7 @@
 from burdockfront_node.controllers import exposition as exposition_lib
 from burdockfront_node.controllers import first_look as first_look_lib
 from burdockfront_node.controllers import heartbeats as heartbeats_lib
-from burdockfront_node.controllers import other_nodes
+from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import policies as policies_lib
 from burdockfront_node.controllers import (
     quarantine_keeper as quarantine_keeper_lib,
@@ -125,7 +125,7 @@
             self._exchange.link,
             self._recorder,
             self._store_returned,
-            other_nodes.OtherNodes(self._exchange),
+            peer_notifier.ExchangePeerNotifier(self._exchange),
             self._rng,
         )
         self._joining_routes = route_joining_lib.RouteJoining(
