--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -80,9 +80,9 @@
         on_members: Called when beliefs about members changed.
         rng: Source of randomness.
         routes: Returns what this node says of its table of routes.
-        on_routes: Called with the address of a peer that was heard of, and
+        on_route_claim: Called with the address of a peer that was heard of, and
             what it says of its table.
-        on_unanswered: Called when a member that was believed alive did not
+        on_probe_failure: Called when a member that was believed alive did not
             answer a probe.
 
     Attributes:
@@ -101,13 +101,13 @@
         on_members: Callable[[], None],
         rng: random.Random,
         routes: Callable[[], freshness.Claim] = _no_routes,
-        on_routes: Callable[[str, freshness.Claim], None] = _ignore,
-        on_unanswered: Callable[[], None] = _do_nothing,
+        on_route_claim: Callable[[str, freshness.Claim], None] = _ignore,
+        on_probe_failure: Callable[[], None] = _do_nothing,
     ):
         self.link = link
         self.routes = routes
-        self._on_routes = on_routes
-        self._on_unanswered = on_unanswered
+        self._on_route_claim = on_route_claim
+        self._on_probe_failure = on_probe_failure
         self.membership = membership
         self.configuration = configuration
         self._settings = settings
@@ -172,7 +172,7 @@
         )
         return True
 
-    def tell_routes(self, first: bool) -> None:
+    def notify_routes(self, first: bool) -> None:
         """Tells others at once which version of the routes is in force.
 
         Args:
@@ -255,7 +255,7 @@
                 self.membership.answered(member)
                 return
             if member.status is members_lib.Status.ALIVE:
-                self._on_unanswered()
+                self._on_probe_failure()
         if member.status is members_lib.Status.DEAD:
             return
         if await self._reached_by_others(member):
@@ -370,7 +370,7 @@
         """
         self._recorder.clock.observe(message.get("t", 0), time.time())
         if sender and "rv" in message:
-            self._on_routes(sender, repairs_lib.claim_from_json(message))
+            self._on_route_claim(sender, repairs_lib.claim_from_json(message))
         for data in message["c"]:
             self.merge_policy(tables.entry_from_json(data))
         # Nodes of the release before know of no crashes.
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/peer_notifier.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/peer_notifier.py
@@ -8,14 +8,14 @@
 class PeerNotifier(Protocol):
     """Whom a watch tells of what it learns."""
 
-    def tell_routes(self, teller: str) -> None:
+    def notify_routes(self, teller: str) -> None:
         """Tells them which version is in force here.
 
         Args:
             teller: Address of the node that it came from; empty: the store.
         """
 
-    def tell_store_away(self, away: bool) -> None:
+    def notify_store_unavailable(self, away: bool) -> None:
         """Tells them whether the store answers this node."""
 
     def count(self) -> int:
@@ -28,14 +28,14 @@
     def __init__(self, exchange: exchange_lib.Exchange):
         self._exchange = exchange
 
-    def tell_routes(self, teller: str) -> None:
+    def notify_routes(self, teller: str) -> None:
         """Tells them which version is in force here."""
         membership = self._exchange.membership
         near = membership.near_peers(len(membership.members()))
         first = teller not in {member.address for member in near}
-        self._exchange.tell_routes(first)
+        self._exchange.notify_routes(first)
 
-    def tell_store_away(self, away: bool) -> None:
+    def notify_store_unavailable(self, away: bool) -> None:
         """Tells them whether the store answers this node."""
         self._exchange.update_me(store_away=away)
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -111,7 +111,7 @@
             read_table,
             book,
             recorder,
-            others.tell_routes,
+            others.notify_routes,
             lambda: self.freshness.claim().age_s,
         )
         self.checks = route_checks.RouteChecks(
@@ -342,13 +342,13 @@
     def _note_away(self, why: str) -> None:
         if not self._away:
             self._recorder.record(time.time(), "store.lost", why=why)
-            self._others.tell_store_away(True)
+            self._others.notify_store_unavailable(True)
         self._away = True
 
     def _note_back(self) -> None:
         self._current_at_s = time.monotonic()
         if self._away:
             self._recorder.record(time.time(), "store.regained")
-            self._others.tell_store_away(False)
+            self._others.notify_store_unavailable(False)
             self._on_return()
         self._away = False
--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -125,8 +125,8 @@
             self._members_changed,
             self._rng,
             self._routes_claim,
-            self._on_routes,
-            self._on_unanswered,
+            self._on_route_claim,
+            self._on_probe_failure,
         )
 
     def _on_event(self, event: timeline.Event) -> None:
@@ -137,10 +137,10 @@
         """Returns what this node says of its table of routes."""
         return freshness.Claim(-1)
 
-    def _on_routes(self, address: str, claim: freshness.Claim) -> None:
+    def _on_route_claim(self, address: str, claim: freshness.Claim) -> None:
         """Takes what a peer says of its table of routes."""
 
-    def _on_unanswered(self) -> None:
+    def _on_probe_failure(self) -> None:
         """Notes that a member believed alive did not answer a probe."""
 
     def _build_sources(self) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -83,10 +83,10 @@
     def _routes_claim(self) -> freshness.Claim:
         return self._route_watch.freshness.claim()
 
-    def _on_routes(self, address: str, claim: freshness.Claim) -> None:
+    def _on_route_claim(self, address: str, claim: freshness.Claim) -> None:
         self._route_watch.heard_of(address, claim)
 
-    def _on_unanswered(self) -> None:
+    def _on_probe_failure(self) -> None:
         self._route_watch.doubt()
         self._quarantine_keeper.doubt()
 
