--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -112,7 +112,7 @@
         store: Any = model_store.StoreClient(
             fleet.store, fleet.faults, fleet.costs, self.name, rng
         )
-        news = self.exchange.crash_news
+        news = self.exchange.crash_gossip
         self.keeper = quarantine_keeper_lib.QuarantineKeeper(
             me.boot_id, store, news.book, news.take
         )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/crash_news.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/crash_gossip.py
@@ -29,7 +29,7 @@
     pass
 
 
-class CrashNews:
+class CrashGossip:
     """What this node knows of crashes, and is still to pass on.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -4,7 +4,7 @@
   tables and recent changes. Unequal digests lead to a repair (`repairs`).
 * A change is pushed at once to a few peers, who push it on: to some of the own
   data centre, and now and then to one of another (`Membership.far_share`).
-* Crashes of backend servers go with the messages as well (`crash_news`).
+* Crashes of backend servers go with the messages as well (`crash_gossip`).
 * Messages carry the version of the routes in force, and how long ago it was
   known to be the newest. Whoever hears of a newer one fetches the table from
   the sender, and tells others.
@@ -29,7 +29,7 @@
 from burdockfront import tables
 from burdockfront import timeline
 from burdockfront_node import settings as settings_lib
-from burdockfront_node.controllers import crash_news as crash_news_lib
+from burdockfront_node.controllers import crash_gossip as crash_gossip_lib
 from burdockfront_node.controllers import joins
 from burdockfront_node.controllers import peer_link
 from burdockfront_node.controllers import repairs as repairs_lib
@@ -86,7 +86,7 @@
             answer a probe.
 
     Attributes:
-        crash_news: Crashes of backend servers, and who is told of them.
+        crash_gossip: Crashes of backend servers, and who is told of them.
         routes: Returns what this node says of its table of routes.
     """
 
@@ -118,7 +118,7 @@
         # Few, and in force within seconds: told three times as often.
         self._policy_rumors = tables.Rumors(settings.fanout * settings.fanout)
         self._news = asyncio.Event()
-        self.crash_news = crash_news_lib.CrashNews(
+        self.crash_gossip = crash_gossip_lib.CrashGossip(
             membership,
             settings.fanout * settings.fanout,
             settings.fanout + _ON_PROBES,
@@ -135,7 +135,7 @@
             self.link,
             membership,
             configuration,
-            self.crash_news.book,
+            self.crash_gossip.book,
             ready,
             self._take,
             exchange_pace.ByteBudget(rate, _BURST_BYTES),
@@ -196,7 +196,7 @@
         """Pushes changes to a few peers as soon as there are any."""
         while True:
             await self._news.wait()
-            urgent = bool(self._policy_rumors) or self.crash_news.urgent
+            urgent = bool(self._policy_rumors) or self.crash_gossip.urgent
             await asyncio.sleep(PUSH_DELAY_S if urgent else _MEMBERS_DELAY_S)
             self._news.clear()
             await self._push_round()
@@ -352,10 +352,10 @@
         return {
             "md": members.digest(),
             "cd": documents.digest(),
-            "xd": self.crash_news.book.table.digest(),
+            "xd": self.crash_gossip.book.table.digest(),
             "m": _entries(members, self._member_rumors.take(riders, peers)),
             "c": _entries(documents, self._policy_rumors.take(_RIDERS, peers)),
-            "x": self.crash_news.riders(riders, peers),
+            "x": self.crash_gossip.riders(riders, peers),
             "t": self._recorder.clock.tick(time.time()),
             **repairs_lib.claim_to_json(self.routes()),
             "a": self.membership.me.address,
@@ -375,7 +375,7 @@
             self.merge_policy(tables.entry_from_json(data))
         # Nodes of the release before know of no crashes.
         for data in message.get("x", ()):
-            self.crash_news.take(tables.entry_from_json(data))
+            self.crash_gossip.take(tables.entry_from_json(data))
         for data in message["m"]:
             entry = tables.entry_from_json(data)
             change = self.membership.merge(entry, time.monotonic())
--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -183,8 +183,8 @@
         )
         self._quarantine = quarantine_lib.Quarantine(
             self._boot_id,
-            self._exchange.crash_news.book,
-            self._exchange.crash_news.tell,
+            self._exchange.crash_gossip.book,
+            self._exchange.crash_gossip.tell,
             self._recorder,
         )
         ledger = ledger_lib.Ledger(
--- a/packages/burdockfront-node/src/burdockfront_node/operators.py
+++ b/packages/burdockfront-node/src/burdockfront_node/operators.py
@@ -34,7 +34,7 @@
             "level": parts.guard.level(),
             "load": round(parts.guard.load(), 3),
             "ejected": parts.dispatcher.router.ejected(),
-            "quarantined": parts.exchange.crash_news.book.quarantined,
+            "quarantined": parts.exchange.crash_gossip.book.quarantined,
             "applied": {
                 name: {
                     "revision": applied.revision,
@@ -128,7 +128,7 @@
     async def release(self, message: dict[str, Any]) -> dict[str, Any]:
         """Lets a request run again that is refused for crashes."""
         fingerprint = str(message["fingerprint"])
-        news = self._parts.exchange.crash_news
+        news = self._parts.exchange.crash_gossip
         entries = news.book.release_of(fingerprint, time.time())
         if not entries:
             raise errors.InvalidInputError(
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -100,8 +100,8 @@
         self._quarantine_keeper = quarantine_keeper_lib.QuarantineKeeper(
             self._boot_id,
             store,
-            self._exchange.crash_news.book,
-            self._exchange.crash_news.take,
+            self._exchange.crash_gossip.book,
+            self._exchange.crash_gossip.take,
         )
         self._quotas = quota_exchange_lib.QuotaExchange(
             self._exchange,
@@ -113,7 +113,9 @@
         self._accounts = account_status_lib.AccountStatus(
             self._book, self._quotas
         )
-        self._exchange.crash_news.on_quarantined = self._quarantine_keeper.keep
+        self._exchange.crash_gossip.on_quarantined = (
+            self._quarantine_keeper.keep
+        )
         self._directory = directory_lib.Directory(
             store, self._exchange, self._rng, self._quarantine_keeper.take
         )
