--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -29,7 +29,7 @@
 from burdockfront_node.controllers import peer_link
 from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import (
-    quarantine_keeper as quarantine_keeper_lib,
+    quarantine_store as quarantine_store_lib,
 )
 from burdockfront_node.controllers import route_joining as route_joining_lib
 from burdockfront_node.controllers import route_watch as route_watch_lib
@@ -113,7 +113,7 @@
             fleet.store, fleet.faults, fleet.costs, self.name, rng
         )
         news = self.exchange.crash_gossip
-        self.keeper = quarantine_keeper_lib.QuarantineKeeper(
+        self.keeper = quarantine_store_lib.QuarantineStore(
             me.boot_id, store, news.book, news.take
         )
         news.on_quarantined = self.keeper.keep
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_keeper.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_store.py
@@ -35,7 +35,7 @@
 _READ_EVERY_S = 1.0
 
 
-class QuarantineKeeper:
+class QuarantineStore:
     """Writes what is quarantined here, and reads what others wrote.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -36,7 +36,7 @@
 from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import policies as policies_lib
 from burdockfront_node.controllers import (
-    quarantine_keeper as quarantine_keeper_lib,
+    quarantine_store as quarantine_store_lib,
 )
 from burdockfront_node.controllers import quota_exchange as quota_exchange_lib
 from burdockfront_node.controllers import quota_limits
@@ -88,7 +88,7 @@
 
     def _on_probe_failure(self) -> None:
         self._route_watch.doubt()
-        self._quarantine_keeper.doubt()
+        self._quarantine_store.doubt()
 
     def _build_sources(self) -> None:
         store = store_lib.StoreClient(
@@ -97,7 +97,7 @@
         self._store_link = store.link
         store.link.on_new_era = self._store_came_back_older
         self._policies = policies_lib.Policies(None, self._exchange)
-        self._quarantine_keeper = quarantine_keeper_lib.QuarantineKeeper(
+        self._quarantine_store = quarantine_store_lib.QuarantineStore(
             self._boot_id,
             store,
             self._exchange.crash_gossip.book,
@@ -113,11 +113,9 @@
         self._accounts = account_status_lib.AccountStatus(
             self._book, self._quotas
         )
-        self._exchange.crash_gossip.on_quarantined = (
-            self._quarantine_keeper.keep
-        )
+        self._exchange.crash_gossip.on_quarantined = self._quarantine_store.keep
         self._directory = directory_lib.Directory(
-            store, self._exchange, self._rng, self._quarantine_keeper.take
+            store, self._exchange, self._rng, self._quarantine_store.take
         )
         self._route_watch = route_watch_lib.RouteWatch(
             store,
@@ -142,7 +140,7 @@
 
     def _store_returned(self) -> None:
         self._directory.store_returned()
-        self._quarantine_keeper.store_returned()
+        self._quarantine_store.store_returned()
 
     def _store_came_back_older(self) -> None:
         """Forgets revisions and leases, and has written anew what is gone.
@@ -320,8 +318,8 @@
             self._route_watch.watch_forever,
             self._route_watch.freshness.watch_forever,
             self._route_watch.checks.check_forever,
-            self._quarantine_keeper.write_forever,
-            self._quarantine_keeper.read_forever,
+            self._quarantine_store.write_forever,
+            self._quarantine_store.read_forever,
             self._first_look.look,
             self._quotas.report_forever,
             *self._common_works(),
