--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
@@ -33,7 +33,7 @@
 _BEFORE_ANY_HEARTBEAT = -1
 
 
-class FirstLook:
+class InitialHealthCheck:
     """Asks once, and tells what a heartbeat would have told.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -31,8 +31,10 @@
 from burdockfront_node.controllers import backends as backends_lib
 from burdockfront_node.controllers import directory as directory_lib
 from burdockfront_node.controllers import exposition as exposition_lib
-from burdockfront_node.controllers import first_look as first_look_lib
 from burdockfront_node.controllers import heartbeats as heartbeats_lib
+from burdockfront_node.controllers import (
+    initial_health_check as initial_health_check_lib,
+)
 from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import policies as policies_lib
 from burdockfront_node.controllers import (
@@ -249,16 +251,18 @@
             self._book,
         )
         self._guard.on_server_leaving = heartbeats.said_leaving
-        self._first_look = first_look_lib.FirstLook(
-            self._place.service,
-            self._settings.data_center,
-            self._place.backend_address,
-            self._adapter.dialect,
-            self._book,
-            self._route_watch,
-            self._incarnations,
-            heartbeats,
-            self._guard.beliefs,
+        self._initial_health_check = (
+            initial_health_check_lib.InitialHealthCheck(
+                self._place.service,
+                self._settings.data_center,
+                self._place.backend_address,
+                self._adapter.dialect,
+                self._book,
+                self._route_watch,
+                self._incarnations,
+                heartbeats,
+                self._guard.beliefs,
+            )
         )
         exposition = exposition_lib.Exposition(
             self._metrics, self._latencies, self._log, self._accounts.metrics
@@ -320,7 +324,7 @@
             self._route_watch.checks.check_forever,
             self._quarantine_store.write_forever,
             self._quarantine_store.read_forever,
-            self._first_look.look,
+            self._initial_health_check.look,
             self._quotas.report_forever,
             *self._common_works(),
         ]
