--- a/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
@@ -70,7 +70,7 @@
         self._heartbeats = heartbeats
         self._beliefs = beliefs
 
-    async def look(self) -> None:
+    async def run(self) -> None:
         """Asks once; whatever goes wrong, the heartbeats will tell."""
         await self._route_watch.wait_for_routes(_ROUTES_S)
         path = self._book.health_path(self._service)
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -324,7 +324,7 @@
             self._route_watch.checks.check_forever,
             self._quarantine_store.write_forever,
             self._quarantine_store.read_forever,
-            self._initial_health_check.look,
+            self._initial_health_check.run,
             self._quotas.report_forever,
             *self._common_works(),
         ]
