--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -114,7 +114,7 @@
         )
         news = self.exchange.crash_gossip
         self.keeper = quarantine_store_lib.QuarantineStore(
-            me.boot_id, store, news.book, news.take
+            me.boot_id, store, news.tracker, news.merge
         )
         news.on_quarantined = self.keeper.keep
         self.directory = directory_lib.Directory(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/crash_gossip.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/crash_gossip.py
@@ -41,7 +41,7 @@
         recorder: Where events go.
 
     Attributes:
-        book: Crashes that this node knows of.
+        tracker: Crashes that this node knows of.
         on_quarantined: Called with the fingerprint of each request that is
             quarantined from now on.
     """
@@ -55,7 +55,7 @@
         on_news: Callable[[], None],
         recorder: timeline.Recorder,
     ):
-        self.book = crashes_lib.CrashBook()
+        self.tracker = crashes_lib.CrashBook()
         self.on_quarantined: Callable[[str], None] = _keep_nothing
         self._membership = membership
         self._push = push
@@ -70,18 +70,18 @@
         """Whether a crash is still to be passed on."""
         return bool(self._crash_rumors)
 
-    def tell(self, entry: tables.Entry) -> None:
+    def announce(self, entry: tables.Entry) -> None:
         """Takes a crash or an acquittal from beside this node.
 
         The nodes of the service hear of a crash directly: the caller of what
         crashed the server asks again within milliseconds.
         """
-        if self.take(entry) and not crashes_lib.is_acquittal(entry):
+        if self.merge(entry) and not crashes_lib.is_acquittal(entry):
             telling = asyncio.create_task(self._tell_service(entry))
             self._telling.add(telling)
             telling.add_done_callback(self._telling.discard)
 
-    def take(self, entry: tables.Entry) -> bool:
+    def merge(self, entry: tables.Entry) -> bool:
         """Takes a crash or an acquittal, and passes news on.
 
         Returns:
@@ -90,14 +90,14 @@
         Raises:
             InvalidInputError: It is neither.
         """
-        before = set(self.book.quarantined)
-        if not self.book.merge(entry, time.monotonic(), time.time()):
+        before = set(self.tracker.quarantined)
+        if not self.tracker.merge(entry, time.monotonic(), time.time()):
             return False
         acquits = crashes_lib.is_acquittal(entry)
         rumors = self._acquittal_rumors if acquits else self._crash_rumors
         rumors.add(entry.key)
         self._on_news()
-        for fingerprint in set(self.book.quarantined) - before:
+        for fingerprint in set(self.tracker.quarantined) - before:
             self._recorder.record(
                 time.time(),
                 "request.quarantined",
@@ -107,7 +107,7 @@
             self.on_quarantined(fingerprint)
         return True
 
-    def riders(self, acquittals: int, peers: int) -> list[list[Any]]:
+    def piggyback(self, acquittals: int, peers: int) -> list[list[Any]]:
         """Returns what goes with a message.
 
         Args:
@@ -118,7 +118,7 @@
             *self._crash_rumors.take(_CRASHES_A_MESSAGE, peers),
             *self._acquittal_rumors.take(acquittals, peers),
         ]
-        found = [self.book.table.get(key) for key in keys]
+        found = [self.tracker.table.get(key) for key in keys]
         return [entry.to_json() for entry in found if entry is not None]
 
     async def _tell_service(self, entry: tables.Entry) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -135,7 +135,7 @@
             self.link,
             membership,
             configuration,
-            self.crash_gossip.book,
+            self.crash_gossip.tracker,
             ready,
             self._take,
             exchange_pace.ByteBudget(rate, _BURST_BYTES),
@@ -352,10 +352,10 @@
         return {
             "md": members.digest(),
             "cd": documents.digest(),
-            "xd": self.crash_gossip.book.table.digest(),
+            "xd": self.crash_gossip.tracker.table.digest(),
             "m": _entries(members, self._member_rumors.take(riders, peers)),
             "c": _entries(documents, self._policy_rumors.take(_RIDERS, peers)),
-            "x": self.crash_gossip.riders(riders, peers),
+            "x": self.crash_gossip.piggyback(riders, peers),
             "t": self._recorder.clock.tick(time.time()),
             **repairs_lib.claim_to_json(self.routes()),
             "a": self.membership.me.address,
@@ -375,7 +375,7 @@
             self.merge_policy(tables.entry_from_json(data))
         # Nodes of the release before know of no crashes.
         for data in message.get("x", ()):
-            self.crash_gossip.take(tables.entry_from_json(data))
+            self.crash_gossip.merge(tables.entry_from_json(data))
         for data in message["m"]:
             entry = tables.entry_from_json(data)
             change = self.membership.merge(entry, time.monotonic())
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
@@ -48,7 +48,7 @@
         while True:
             await asyncio.sleep(_EVERY_S)
             self._guard.ledger.expire(self._wall_s())
-            self._exchange.crash_gossip.book.forget(time.time())
+            self._exchange.crash_gossip.tracker.forget(time.time())
             self._dispatcher.book.forget(time.monotonic())
             self._tell_ways()
             self._tell_control_cost()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/metrics.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/metrics.py
@@ -72,7 +72,7 @@
     def gauges(self) -> dict[str, float]:
         """Returns values of this moment."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        crashes = self._exchange.crash_gossip.book
+        crashes = self._exchange.crash_gossip.tracker
         claim = self._exchange.routes()
         report = self._guard.beliefs.report
         limit_per_s = report.limit_per_s
--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -183,8 +183,8 @@
         )
         self._quarantine = quarantine_lib.Quarantine(
             self._boot_id,
-            self._exchange.crash_gossip.book,
-            self._exchange.crash_gossip.tell,
+            self._exchange.crash_gossip.tracker,
+            self._exchange.crash_gossip.announce,
             self._recorder,
         )
         ledger = ledger_lib.Ledger(
--- a/packages/burdockfront-node/src/burdockfront_node/operators.py
+++ b/packages/burdockfront-node/src/burdockfront_node/operators.py
@@ -34,7 +34,7 @@
             "level": parts.guard.level(),
             "load": round(parts.guard.load(), 3),
             "ejected": parts.dispatcher.router.ejected(),
-            "quarantined": parts.exchange.crash_gossip.book.quarantined,
+            "quarantined": parts.exchange.crash_gossip.tracker.quarantined,
             "applied": {
                 name: {
                     "revision": applied.revision,
@@ -129,14 +129,14 @@
         """Lets a request run again that is refused for crashes."""
         fingerprint = str(message["fingerprint"])
         news = self._parts.exchange.crash_gossip
-        entries = news.book.release_of(fingerprint, time.time())
+        entries = news.tracker.release_of(fingerprint, time.time())
         if not entries:
             raise errors.InvalidInputError(
                 f"no crash counts against {fingerprint!r} at this node; 'show "
                 f"quarantine' lists what is refused."
             )
         for entry in entries:
-            news.tell(entry)
+            news.announce(entry)
         self._parts.recorder.record(
             time.time(),
             "operator.released",
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -102,8 +102,8 @@
         self._quarantine_store = quarantine_store_lib.QuarantineStore(
             self._boot_id,
             store,
-            self._exchange.crash_gossip.book,
-            self._exchange.crash_gossip.take,
+            self._exchange.crash_gossip.tracker,
+            self._exchange.crash_gossip.merge,
         )
         self._quotas = quota_exchange_lib.QuotaExchange(
             self._exchange,
--- a/tests/unit/test_many_nodes.py
+++ b/tests/unit/test_many_nodes.py
@@ -236,14 +236,15 @@
     node = fleet.nodes[f"node-{number}"]
     crash_id = f"{node.membership.me.boot_id}.{number}"
     entry = builders.a_crash(crash_id, _DEADLY, at_s=time.time())
-    node.exchange.crash_gossip.tell(entry)
+    node.exchange.crash_gossip.announce(entry)
 
 
 async def _refused_everywhere_s(fleet: exchange_model.Fleet) -> float:
     """Returns how long it takes until all nodes refuse the request."""
     return await exchange_model.until(
         lambda: all(
-            node.exchange.crash_gossip.book.quarantined == [_DEADLY.fingerprint]
+            node.exchange.crash_gossip.tracker.quarantined
+            == [_DEADLY.fingerprint]
             for node in fleet.living()
         ),
         20.0,
@@ -329,7 +330,7 @@
         fleet.start(7)
         node = fleet.nodes["node-7"]
         await exchange_model.until(node.ready.is_set, 20.0)
-        return bool(node.exchange.crash_gossip.book.quarantined)
+        return bool(node.exchange.crash_gossip.tracker.quarantined)
 
     assert virtual_time.run(scenario())
 
@@ -348,15 +349,15 @@
         before = fleet.costs.copy()
         suspects = [crashes.Suspect(f"{n:016x}", "fees") for n in range(45)]
         entry = builders.a_crash("boot.1", *suspects, at_s=time.time())
-        fleet.nodes["node-0"].exchange.crash_gossip.tell(entry)
+        fleet.nodes["node-0"].exchange.crash_gossip.announce(entry)
         await asyncio.sleep(0.1)
         for number, suspect in enumerate(suspects):
             news = fleet.nodes[f"node-{number % nodes}"].exchange.crash_gossip
-            for acquittal in news.book.acquittals_of(suspect, time.time()):
-                news.tell(acquittal)
+            for acquittal in news.tracker.acquittals_of(suspect, time.time()):
+                news.announce(acquittal)
             await asyncio.sleep(0.02)
         await asyncio.sleep(_CRASH_S - 1.0)
-        books = [node.exchange.crash_gossip.book for node in fleet.living()]
+        books = [node.exchange.crash_gossip.tracker for node in fleet.living()]
         left = [book.suspects for book in books]
         assert max(left) == 0, "all are acquitted everywhere"
         spent = fleet.costs.since(before)
