--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -116,9 +116,9 @@
         self.keeper = quarantine_store_lib.QuarantineStore(
             me.boot_id, store, news.tracker, news.merge
         )
-        news.on_quarantined = self.keeper.keep
+        news.on_quarantined = self.keeper.persist
         self.directory = directory_lib.Directory(
-            store, self.exchange, rng, self.keeper.take
+            store, self.exchange, rng, self.keeper.load
         )
         self.watch = route_watch_lib.RouteWatch(
             store,
@@ -181,12 +181,12 @@
         self.exchange.update_me(service=self._service, slots=12)
 
     def _store_returned(self) -> None:
-        self.directory.store_returned()
-        self.keeper.store_returned()
+        self.directory.on_store_recovered()
+        self.keeper.on_store_recovered()
 
     def _doubt(self) -> None:
         self.watch.doubt()
-        self.keeper.doubt()
+        self.keeper.on_probe_failure()
 
     def _say_ready(self) -> None:
         self.ready.set()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/directory.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/directory.py
@@ -97,7 +97,7 @@
         # Before it has read the keys, a node can't tell whether it needs one.
         self._has_joined = asyncio.Event()
 
-    def store_returned(self) -> None:
+    def on_store_recovered(self) -> None:
         """Notes that the store answers again: the lease may have lapsed."""
         self._renew_now.set()
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_store.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quarantine_store.py
@@ -62,7 +62,7 @@
         self._doubts_until_s = 0.0
         self._has_doubts = asyncio.Event()
 
-    def keep(self, fingerprint: str) -> None:
+    def persist(self, fingerprint: str) -> None:
         """Has a request kept that is quarantined.
 
         By each node that saw one of its crashes. They may hear of the others'
@@ -72,12 +72,12 @@
             self._due.add(fingerprint)
             self._has_due.set()
 
-    def doubt(self) -> None:
+    def on_probe_failure(self) -> None:
         """Notes that a peer was not reached: news may not reach this node."""
         self._doubts_until_s = time.monotonic() + _DOUBT_S
         self._has_doubts.set()
 
-    def take(self, item: store_lib.Item) -> None:
+    def load(self, item: store_lib.Item) -> None:
         """Takes an item of the store, if it is one of these."""
         if not item.key.startswith(PREFIX):
             return
@@ -90,7 +90,7 @@
                 extra={"key": item.key, "why": str(error)},
             )
 
-    def store_returned(self) -> None:
+    def on_store_recovered(self) -> None:
         """Notes that the store answers again: leases may have lapsed."""
         self._has_due.set()
 
@@ -154,5 +154,5 @@
                 _LOG.info("quarantine not read", extra={"why": str(error)})
             else:
                 for item in page.items:
-                    self.take(item)
+                    self.load(item)
             await asyncio.sleep(_READ_EVERY_S)
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -90,7 +90,7 @@
 
     def _on_probe_failure(self) -> None:
         self._route_watch.doubt()
-        self._quarantine_store.doubt()
+        self._quarantine_store.on_probe_failure()
 
     def _build_sources(self) -> None:
         store = store_lib.StoreClient(
@@ -115,9 +115,11 @@
         self._accounts = account_status_lib.AccountStatus(
             self._book, self._quotas
         )
-        self._exchange.crash_gossip.on_quarantined = self._quarantine_store.keep
+        self._exchange.crash_gossip.on_quarantined = (
+            self._quarantine_store.persist
+        )
         self._directory = directory_lib.Directory(
-            store, self._exchange, self._rng, self._quarantine_store.take
+            store, self._exchange, self._rng, self._quarantine_store.load
         )
         self._route_watch = route_watch_lib.RouteWatch(
             store,
@@ -141,8 +143,8 @@
         )
 
     def _store_returned(self) -> None:
-        self._directory.store_returned()
-        self._quarantine_store.store_returned()
+        self._directory.on_store_recovered()
+        self._quarantine_store.on_store_recovered()
 
     def _store_came_back_older(self) -> None:
         """Forgets revisions and leases, and has written anew what is gone.
