--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -11,7 +11,7 @@
 
 # Heartbeats come about every 1.5 s and may be seconds late. A server that has
 # crashed is found out sooner, because it refuses connections.
-SILENT_AFTER_S = 7.0
+TIMEOUT_S = 7.0
 CHECK_S = 1.0
 # Some backend servers slow down for all their requests when nearly full; the
 # last few slots then cost more than they bring.
@@ -73,7 +73,7 @@
         else:
             self._record("backend.left", instance_id, -1)
 
-    def said_leaving(self, start: incarnations_lib.Start) -> None:
+    def on_leave_notice(self, start: incarnations_lib.Start) -> None:
         """Takes that a start said on an answer that it leaves."""
         if self._incarnations.leave_start(start):
             self._announce()
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -212,7 +212,7 @@
             self._guard,
             self._exchange,
             self._recorder,
-            heartbeats_lib.SILENT_AFTER_S,
+            heartbeats_lib.TIMEOUT_S,
             heartbeats_lib.CHECK_S,
         )
 
@@ -252,7 +252,7 @@
             self._place.service,
             self._book,
         )
-        self._guard.on_server_leaving = heartbeats.said_leaving
+        self._guard.on_server_leaving = heartbeats.on_leave_notice
         self._initial_health_check = (
             initial_health_check_lib.InitialHealthCheck(
                 self._place.service,
