--- a/packages/burdockfront-node/src/burdockfront_node/controllers/control_cost.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/control_cost.py
@@ -28,7 +28,7 @@
     def totals(self) -> collections.Counter[str]:
         """Returns counts since the start, by the name of their metric."""
         found: collections.Counter[str] = collections.Counter()
-        for kind, size_bytes in self._link.moved.items():
+        for kind, size_bytes in self._link.transferred.items():
             found[f"exchange.{kind}_bytes"] = size_bytes
         if self._store is not None:
             for kind, calls in self._store.calls_by_kind.items():
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
@@ -63,7 +63,7 @@
             "ways.moved",
             total_bytes=moved.total(),
             most_bytes=dict(moved.most_common(_MOST_WAYS)),
-            exchanged_bytes=self._exchange.link.moved_bytes,
+            exchanged_bytes=self._exchange.link.transferred_bytes,
         )
         moved.clear()
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/peer_link.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/peer_link.py
@@ -19,7 +19,7 @@
         messages: Messages sent since the start.
         sent_bytes: Bodies sent since the start.
         received_bytes: Bodies of answers since the start.
-        moved: Bodies in both directions since the start, by the last word of
+        transferred: Bodies in both directions since the start, by the last word of
             the path, `near` or `far`.
         far_addresses: Peers of other data centres.
 
@@ -35,7 +35,7 @@
         self.messages = 0
         self.sent_bytes = 0
         self.received_bytes = 0
-        self.moved: collections.Counter[str] = collections.Counter()
+        self.transferred: collections.Counter[str] = collections.Counter()
         self.far_addresses: frozenset[str] = frozenset()
 
     async def ask(
@@ -62,7 +62,7 @@
         self.received_bytes += len(reply.body)
         kind = path.rpartition("/")[2]
         way = "far" if address in self.far_addresses else "near"
-        self.moved[f"{kind}.{way}"] += len(body) + len(reply.body)
+        self.transferred[f"{kind}.{way}"] += len(body) + len(reply.body)
         if reply.status != 200:
             raise errors.DispatchError(
                 f"{address} answered {reply.status} to {path}; check that "
@@ -83,7 +83,7 @@
         return data
 
     @property
-    def moved_bytes(self) -> int:
+    def transferred_bytes(self) -> int:
         """Bodies in both directions since the start."""
         return self.sent_bytes + self.received_bytes
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
@@ -97,7 +97,7 @@
             DispatchError: It did not answer, or not in a way we understand.
         """
         self.count += 1
-        before_bytes = self._link.moved_bytes
+        before_bytes = self._link.transferred_bytes
         answer = await self._link.ask(
             address, SYNC, self._question(members), _TIMEOUT_S
         )
@@ -110,7 +110,7 @@
         if members:
             # Other messages may have passed meanwhile; to count them too
             # only makes the next repair come later.
-            spent_bytes = self._link.moved_bytes - before_bytes
+            spent_bytes = self._link.transferred_bytes - before_bytes
             self._budget.spend(spent_bytes, time.monotonic())
         return ready
 
--- a/tests/unit/test_incompatible_peers.py
+++ b/tests/unit/test_incompatible_peers.py
@@ -20,7 +20,7 @@
 class _Link:
     """Stands in for the way to peers: each answer is the same."""
 
-    moved_bytes = 0
+    transferred_bytes = 0
 
     def __init__(self, answer: object):
         self._answer = answer
--- a/tests/unit/test_joining_many.py
+++ b/tests/unit/test_joining_many.py
@@ -17,7 +17,7 @@
 class _Link:
     """Knows which nodes live; a call to any other is never answered."""
 
-    moved_bytes = 0
+    transferred_bytes = 0
 
     def __init__(self, living: set[str], ready: bool):
         self._living = living
--- a/tests/unit/test_leaving_news.py
+++ b/tests/unit/test_leaving_news.py
@@ -16,7 +16,7 @@
 class _Link:
     """Keeps what is sent."""
 
-    moved_bytes = 0
+    transferred_bytes = 0
 
     def __init__(self) -> None:
         self.sent: list[dict[str, object]] = []
--- a/tests/unit/test_many_nodes.py
+++ b/tests/unit/test_many_nodes.py
@@ -60,8 +60,8 @@
         return started, fleet.costs
 
     started, costs = virtual_time.run(scenario())
-    moved_bytes = costs.near_bytes.total() + costs.far_bytes.total()
-    assert moved_bytes <= nodes * fleets.START_S * _CONTROL_BYTES_PER_S
+    transferred_bytes = costs.near_bytes.total() + costs.far_bytes.total()
+    assert transferred_bytes <= nodes * fleets.START_S * _CONTROL_BYTES_PER_S
     assert started.store_calls <= _START_CALLS * nodes
 
 
@@ -363,8 +363,8 @@
         spent = fleet.costs.since(before)
         return spent.near_bytes.total() + spent.far_bytes.total()
 
-    moved_bytes = virtual_time.run(scenario())
-    assert moved_bytes <= nodes * _CRASH_S * _CONTROL_BYTES_PER_S
+    transferred_bytes = virtual_time.run(scenario())
+    assert transferred_bytes <= nodes * _CRASH_S * _CONTROL_BYTES_PER_S
 
 
 def test_same_seed_plays_the_same():
