--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -171,7 +171,7 @@
             exchange_lib.PROBE: self.exchange.on_probe,
             exchange_lib.PROBE_FOR: self.exchange.on_probe_for,
             exchange_lib.PUSH: self.exchange.on_push,
-            exchange_lib.SYNC: self.exchange.repairs.on_sync,
+            exchange_lib.SYNC: self.exchange.anti_entropy.on_sync,
             route_watch_lib.ROUTES: self.watch.on_peer,
         }[path]
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/repairs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/anti_entropy.py
@@ -30,7 +30,7 @@
 _LONGEST_UNEQUAL_S = 30.0
 
 
-class Repairs:
+class AntiEntropySync:
     """Repairs this node's tables with peers.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -29,16 +29,16 @@
 from burdockfront import tables
 from burdockfront import timeline
 from burdockfront_node import settings as settings_lib
+from burdockfront_node.controllers import anti_entropy as anti_entropy_lib
 from burdockfront_node.controllers import crash_gossip as crash_gossip_lib
 from burdockfront_node.controllers import joins
 from burdockfront_node.controllers import peer_link
-from burdockfront_node.controllers import repairs as repairs_lib
 from burdockfront_node.controllers import route_news as route_news_lib
 
 PROBE = "/peer/probe"
 PROBE_FOR = "/peer/probe-for"
-PUSH = repairs_lib.PUSH
-SYNC = repairs_lib.SYNC
+PUSH = anti_entropy_lib.PUSH
+SYNC = anti_entropy_lib.SYNC
 
 _HELPERS = 2
 _RIDERS = 6
@@ -131,7 +131,7 @@
         )
         rate = settings.members_bytes_per_s / 2
         self._push_budget = exchange_pace.ByteBudget(rate, _BURST_BYTES)
-        self.repairs = repairs_lib.Repairs(
+        self.anti_entropy = anti_entropy_lib.AntiEntropySync(
             self.link,
             membership,
             configuration,
@@ -141,7 +141,7 @@
             exchange_pace.ByteBudget(rate, _BURST_BYTES),
             routes,
         )
-        self._joins = joins.Joins(self.repairs, membership.me.address, rng)
+        self._joins = joins.Joins(self.anti_entropy, membership.me.address, rng)
 
     # ---- local changes -------------------------------------------------
 
@@ -269,12 +269,12 @@
             answer = await self.link.ask(
                 address, PROBE, self._message(), self._probe_s()
             )
-            with repairs_lib.understood(address):
+            with anti_entropy_lib.understood(address):
                 self._take(answer, address)
         except errors.DispatchError:
             return False
         try:
-            await self.repairs.after_probe(address, answer)
+            await self.anti_entropy.after_probe(address, answer)
         except errors.DispatchError:
             # It is alive; a later probe repairs.
             pass
@@ -357,7 +357,7 @@
             "c": _entries(documents, self._policy_rumors.take(_RIDERS, peers)),
             "x": self.crash_gossip.piggyback(riders, peers),
             "t": self._recorder.clock.tick(time.time()),
-            **repairs_lib.claim_to_json(self.routes()),
+            **anti_entropy_lib.claim_to_json(self.routes()),
             "a": self.membership.me.address,
         }
 
@@ -370,7 +370,9 @@
         """
         self._recorder.clock.observe(message.get("t", 0), time.time())
         if sender and "rv" in message:
-            self._on_route_claim(sender, repairs_lib.claim_from_json(message))
+            self._on_route_claim(
+                sender, anti_entropy_lib.claim_from_json(message)
+            )
         for data in message["c"]:
             self.merge_policy(tables.entry_from_json(data))
         # Nodes of the release before know of no crashes.
@@ -384,7 +386,7 @@
 
     def _note_member(self, change: membership_lib.Change) -> None:
         member = change.member
-        self.repairs.changed()
+        self.anti_entropy.changed()
         mine = member.node_id == self.membership.me.node_id
         self._member_rumors.add(member.node_id, first=mine)
         self._news.set()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/joins.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/joins.py
@@ -5,7 +5,7 @@
 import random
 
 from burdockfront import errors
-from burdockfront_node.controllers import repairs as repairs_lib
+from burdockfront_node.controllers import anti_entropy as anti_entropy_lib
 
 _LOG = logging.getLogger(__name__)
 
@@ -29,7 +29,10 @@
     """
 
     def __init__(
-        self, repairs: repairs_lib.Repairs, me: str, rng: random.Random
+        self,
+        repairs: anti_entropy_lib.AntiEntropySync,
+        me: str,
+        rng: random.Random,
     ):
         self._repairs = repairs
         self._me = me
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/metrics.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/metrics.py
@@ -59,7 +59,7 @@
         found["exchange.messages"] = exchange.link.messages
         found["exchange.sent_bytes"] = exchange.link.sent_bytes
         found["exchange.received_bytes"] = exchange.link.received_bytes
-        found["exchange.repairs"] = exchange.repairs.count
+        found["exchange.repairs"] = exchange.anti_entropy.count
         found["members.refuted"] = exchange.membership.refuted
         sender = self._dispatcher.sender
         found["peers.retired"] = sender.peers.retired + sender.link.retired
--- a/packages/burdockfront-node/src/burdockfront_node/internal_handlers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal_handlers.py
@@ -72,7 +72,7 @@
             exchange_lib.PROBE: _plain(exchange.on_probe),
             exchange_lib.PROBE_FOR: exchange.on_probe_for,
             exchange_lib.PUSH: _plain(exchange.on_push),
-            exchange_lib.SYNC: _plain(exchange.repairs.on_sync),
+            exchange_lib.SYNC: _plain(exchange.anti_entropy.on_sync),
             ticket_status.PATH: _plain(self._on_ticket),
             "/backend/announce": _plain(self._on_announce),
             "/backend/targets": _plain(self._on_targets),
--- a/tests/unit/test_freshness.py
+++ b/tests/unit/test_freshness.py
@@ -9,7 +9,7 @@
 from burdockfront import routes
 from burdockfront import timeline
 from burdockfront_bench import virtual_time
-from burdockfront_node.controllers import repairs
+from burdockfront_node.controllers import anti_entropy
 from burdockfront_node.controllers import route_freshness
 
 
@@ -24,17 +24,20 @@
 
 def test_claim_travels_with_and_without_an_age():
     for claim in (freshness.Claim(7, 0.25), freshness.Claim(-1, None)):
-        assert repairs.claim_from_json(repairs.claim_to_json(claim)) == claim
+        assert (
+            anti_entropy.claim_from_json(anti_entropy.claim_to_json(claim))
+            == claim
+        )
 
 
 def test_claim_of_an_earlier_release_has_no_age():
-    assert repairs.claim_from_json({"rv": 3}) == freshness.Claim(3, None)
+    assert anti_entropy.claim_from_json({"rv": 3}) == freshness.Claim(3, None)
 
 
 @pytest.mark.parametrize("age", ["old", -1.0, float("nan"), float("inf"), []])
 def test_age_that_makes_no_sense_is_refused(age):
     with pytest.raises((TypeError, ValueError)):
-        repairs.claim_from_json({"rv": 3, "ra": age})
+        anti_entropy.claim_from_json({"rv": 3, "ra": age})
 
 
 class _Node:
