--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -51,7 +51,7 @@
             )
         self.publish()
 
-    def begin_anew(self, planned: bool) -> None:
+    def on_new_incarnation(self, planned: bool) -> None:
         """Notes that what announces itself now is another incarnation.
 
         Args:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/control_cost.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/control_cost.py
@@ -35,7 +35,7 @@
                 found[f"platform.{kind}_calls"] = calls
         return found
 
-    def since_told(self) -> dict[str, int]:
+    def since_last_report(self) -> dict[str, int]:
         """Returns what was added since the last question."""
         totals = self.totals()
         added = totals - self._told
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -141,7 +141,9 @@
             exchange_pace.ByteBudget(rate, _BURST_BYTES),
             routes,
         )
-        self._joins = joins.Joins(self.anti_entropy, membership.me.address, rng)
+        self._joiner = joins.Joiner(
+            self.anti_entropy, membership.me.address, rng
+        )
 
     # ---- local changes -------------------------------------------------
 
@@ -204,8 +206,8 @@
     async def join(
         self, addresses: list[str], enough: int, configured: bool = True
     ) -> int:
-        """Exchanges everything with some nodes; see `joins.Joins.run`."""
-        return await self._joins.run(addresses, enough, configured)
+        """Exchanges everything with some nodes; see `joins.Joiner.run`."""
+        return await self._joiner.run(addresses, enough, configured)
 
     async def close(self) -> None:
         """Tells some peers how this node left, and closes connections.
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -93,7 +93,7 @@
         )
         self._told = current
         if anew:
-            self._backends.begin_anew(told is None or told.leaving)
+            self._backends.on_new_incarnation(told is None or told.leaving)
         if anew or told is None or told.leaving != current.leaving:
             kind = (
                 "backend.leaving" if current.leaving else "backend.in-service"
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
@@ -69,6 +69,6 @@
 
     def _tell_control_cost(self) -> None:
         """Logs what the exchange and the store cost since the last time."""
-        added = self._metrics.control_cost.since_told()
+        added = self._metrics.control_cost.since_last_report()
         if added:
             self._recorder.record(time.time(), "control.cost", added=added)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/joins.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/joins.py
@@ -19,7 +19,7 @@
 _LAST_JOINS_S = 0.2
 
 
-class Joins:
+class Joiner:
     """Asks nodes for their tables.
 
     Args:
