--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -37,6 +37,6 @@
     fleet.faults.store_silent.update(names)
 
 
-def silence(fleet: exchange_model.Fleet, names: list[str]) -> None:
+def cut_off_from_store(fleet: exchange_model.Fleet, names: list[str]) -> None:
     """Cuts nodes off from the store alone: other nodes reach them."""
     fleet.faults.store_silent.update(names)
--- a/tests/unit/test_watchers_lost.py
+++ b/tests/unit/test_watchers_lost.py
@@ -67,7 +67,9 @@
     nodes, places
 ):
     """Guards against watchers that others see alive, and that hear nothing."""
-    assert _worst_s(nodes, places, fleets.silence) < _HALF_THE_BOUND_S
+    assert (
+        _worst_s(nodes, places, fleets.cut_off_from_store) < _HALF_THE_BOUND_S
+    )
 
 
 @_SIZES
