--- a/packages/burdockfront-node/src/burdockfront_node/controllers/crash_gossip.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/crash_gossip.py
@@ -1,9 +1,10 @@
-"""Crashes of backend servers on their way through the exchange.
+"""Spreads crashes of backend servers, and acquittals of requests, by gossip.
 
-A crash is told to all nodes of the service at once, which is where repeats of
-what crashed it go, and to the others like a change. An acquittal is told in the
-pace of members: there are as many as requests were at the server, and nobody
-waits for them, since a guard that has answered a request knows by itself.
+A crash is pushed at once to all nodes of the service, because repeats of the
+request that caused it go there, and gossiped to all other nodes. An acquittal
+is gossiped at the rate of membership updates: a crash leads to as many of them
+as requests were at the server, and no guard waits for one, since a guard that
+has answered a request knows that itself.
 """
 
 import asyncio
@@ -18,32 +19,33 @@
 from burdockfront import tables
 from burdockfront import timeline
 
-# Of a larger service the others hear by pushes, a few hops later.
-_MOST_OF_SERVICE = 64
-_CRASHES_A_MESSAGE = 6
+# Nodes of its service to which a crash is pushed directly. The remaining nodes
+# of a larger service receive it by gossip, a few hops later.
+_MAX_DIRECT_PUSHES = 64
+_MAX_CRASHES_PER_MESSAGE = 6
 
 Push = Callable[[tables.Entry, list[members_lib.Member]], Awaitable[None]]
 
 
-def _keep_nothing(fingerprint: str) -> None:
+def _ignore(fingerprint: str) -> None:
     pass
 
 
 class CrashGossip:
-    """What this node knows of crashes, and is still to pass on.
+    """Crashes known to this node, and those still to be gossiped.
 
     Args:
-        membership: Members as this node knows them.
-        crash_sends: How many peers are told of a crash by each node.
-        acquittal_sends: The same for an acquittal.
-        push: Tells an entry to members.
-        on_news: Called when there is something to pass on.
-        recorder: Where events go.
+        membership: Current view of the members.
+        crash_sends: To how many peers each node sends a crash.
+        acquittal_sends: To how many peers each node sends an acquittal.
+        push: Pushes an entry to members.
+        on_change: Called when there is an entry to gossip.
+        recorder: Records events.
 
     Attributes:
-        tracker: Crashes that this node knows of.
-        on_quarantined: Called with the fingerprint of each request that is
-            quarantined from now on.
+        tracker: Crashes known to this node.
+        on_quarantined: Called with the fingerprint of each request that
+            becomes quarantined.
     """
 
     def __init__(
@@ -52,51 +54,51 @@
         crash_sends: int,
         acquittal_sends: int,
         push: Push,
-        on_news: Callable[[], None],
+        on_change: Callable[[], None],
         recorder: timeline.Recorder,
     ):
         self.tracker = crashes_lib.CrashBook()
-        self.on_quarantined: Callable[[str], None] = _keep_nothing
+        self.on_quarantined: Callable[[str], None] = _ignore
         self._membership = membership
         self._push = push
-        self._on_news = on_news
+        self._on_change = on_change
         self._recorder = recorder
-        self._crash_rumors = tables.Rumors(crash_sends)
-        self._acquittal_rumors = tables.Rumors(acquittal_sends)
-        self._telling: set[asyncio.Task[None]] = set()
+        self._crash_queue = tables.Rumors(crash_sends)
+        self._acquittal_queue = tables.Rumors(acquittal_sends)
+        self._pushes: set[asyncio.Task[None]] = set()
 
     @property
     def urgent(self) -> bool:
-        """Whether a crash is still to be passed on."""
-        return bool(self._crash_rumors)
+        """Whether a crash is still to be gossiped."""
+        return bool(self._crash_queue)
 
     def announce(self, entry: tables.Entry) -> None:
-        """Takes a crash or an acquittal from beside this node.
+        """Adds a crash or an acquittal that was observed at this node.
 
-        The nodes of the service hear of a crash directly: the caller of what
-        crashed the server asks again within milliseconds.
+        A crash is pushed directly to the nodes of the service, because the
+        caller of the request that caused it retries within milliseconds.
         """
         if self.merge(entry) and not crashes_lib.is_acquittal(entry):
-            telling = asyncio.create_task(self._tell_service(entry))
-            self._telling.add(telling)
-            telling.add_done_callback(self._telling.discard)
+            push = asyncio.create_task(self._push_to_service(entry))
+            self._pushes.add(push)
+            push.add_done_callback(self._pushes.discard)
 
     def merge(self, entry: tables.Entry) -> bool:
-        """Takes a crash or an acquittal, and passes news on.
+        """Merges a crash or an acquittal, and gossips it if it is new.
 
         Returns:
-            Whether it was news.
+            Whether it was new to this node.
 
         Raises:
-            InvalidInputError: It is neither.
+            InvalidInputError: The entry is neither a crash nor an acquittal.
         """
         before = set(self.tracker.quarantined)
         if not self.tracker.merge(entry, time.monotonic(), time.time()):
             return False
         acquits = crashes_lib.is_acquittal(entry)
-        rumors = self._acquittal_rumors if acquits else self._crash_rumors
-        rumors.add(entry.key)
-        self._on_news()
+        queue = self._acquittal_queue if acquits else self._crash_queue
+        queue.add(entry.key)
+        self._on_change()
         for fingerprint in set(self.tracker.quarantined) - before:
             self._recorder.record(
                 time.time(),
@@ -108,24 +110,25 @@
         return True
 
     def piggyback(self, acquittals: int, peers: int) -> list[list[Any]]:
-        """Returns what goes with a message.
+        """Returns the entries to piggyback on a message.
 
         Args:
-            acquittals: The most of them.
-            peers: How many peers get the message.
+            acquittals: Largest number of acquittals.
+            peers: How many peers receive the message.
         """
         keys = [
-            *self._crash_rumors.take(_CRASHES_A_MESSAGE, peers),
-            *self._acquittal_rumors.take(acquittals, peers),
+            *self._crash_queue.take(_MAX_CRASHES_PER_MESSAGE, peers),
+            *self._acquittal_queue.take(acquittals, peers),
         ]
         found = [self.tracker.table.get(key) for key in keys]
         return [entry.to_json() for entry in found if entry is not None]
 
-    async def _tell_service(self, entry: tables.Entry) -> None:
-        mine = self._membership.me
-        same = [
+    async def _push_to_service(self, entry: tables.Entry) -> None:
+        local = self._membership.me
+        same_service = [
             member
             for member in self._membership.usable()
-            if member.service == mine.service and member.node_id != mine.node_id
+            if member.service == local.service
+            and member.node_id != local.node_id
         ]
-        await self._push(entry, same[:_MOST_OF_SERVICE])
+        await self._push(entry, same_service[:_MAX_DIRECT_PUSHES])
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/peer_notifier.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/peer_notifier.py
@@ -1,4 +1,4 @@
-"""The other nodes, as whoever watches the store for them sees them."""
+"""Notifies the other nodes of what a watch on the store has learned."""
 
 from typing import Protocol
 
@@ -6,38 +6,43 @@
 
 
 class PeerNotifier(Protocol):
-    """Whom a watch tells of what it learns."""
+    """The other nodes, as a watch on the store uses them."""
 
-    def notify_routes(self, teller: str) -> None:
-        """Tells them which version is in force here.
+    def notify_routes(self, source: str) -> None:
+        """Announces the version of the route table that is active here.
 
         Args:
-            teller: Address of the node that it came from; empty: the store.
+            source: Address of the node that sent the table; empty if it was
+                read from the store.
         """
 
-    def notify_store_unavailable(self, away: bool) -> None:
-        """Tells them whether the store answers this node."""
+    def notify_store_unavailable(self, unavailable: bool) -> None:
+        """Announces whether the store fails to answer this node."""
 
     def count(self) -> int:
         """Returns how many nodes are known."""
 
 
 class ExchangePeerNotifier:
-    """Tells the other nodes by the exchange."""
+    """Notifies the other nodes through the exchange.
+
+    Args:
+        exchange: Gossips with the peers.
+    """
 
     def __init__(self, exchange: exchange_lib.Exchange):
         self._exchange = exchange
 
-    def notify_routes(self, teller: str) -> None:
-        """Tells them which version is in force here."""
+    def notify_routes(self, source: str) -> None:
+        """Announces the active version; see `PeerNotifier`."""
         membership = self._exchange.membership
         near = membership.near_peers(len(membership.members()))
-        first = teller not in {member.address for member in near}
+        first = source not in {member.address for member in near}
         self._exchange.notify_routes(first)
 
-    def notify_store_unavailable(self, away: bool) -> None:
-        """Tells them whether the store answers this node."""
-        self._exchange.update_me(store_away=away)
+    def notify_store_unavailable(self, unavailable: bool) -> None:
+        """Announces whether the store fails to answer this node."""
+        self._exchange.update_me(store_away=unavailable)
 
     def count(self) -> int:
         """Returns how many nodes are known."""
