--- a/packages/burdockfront-node/src/burdockfront_node/controllers/peer_link.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/peer_link.py
@@ -1,4 +1,4 @@
-"""Sends JSON messages to the internal ports of peers, and counts their cost."""
+"""JSON client for the internal ports of peers, with traffic counters."""
 
 import collections
 from typing import Any
@@ -13,20 +13,23 @@
 
 
 class PeerLink:
-    """Asks peers.
+    """Sends requests to peers.
+
+    All counters start at zero with the process.
 
     Attributes:
-        messages: Messages sent since the start.
-        sent_bytes: Bodies sent since the start.
-        received_bytes: Bodies of answers since the start.
-        transferred: Bodies in both directions since the start, by the last word of
-            the path, `near` or `far`.
-        far_addresses: Peers of other data centres.
+        messages: Number of requests sent.
+        sent_bytes: Size of the request bodies.
+        received_bytes: Size of the answers' bodies.
+        transferred: Size of the bodies in both directions, by the last segment
+            of the path and `near` or `far`, e.g. `probe.far`.
+        far_addresses: Addresses of the peers in other data centres.
 
     Args:
-        headers: Headers that authenticate this node; replaced in place when
-            keys are.
-        source_ip: Own IP number that connections come from, if it matters.
+        headers: Headers that authenticate this node; updated in place when
+            the keys change.
+        source_ip: Local IP address to connect from; None to let the system
+            choose.
     """
 
     def __init__(self, headers: dict[str, str], source_ip: str | None):
@@ -48,7 +51,8 @@
         """Sends a message and returns the answer.
 
         Raises:
-            DispatchError: No answer, or a refusal.
+            DispatchError: The peer did not answer, answered with another
+                status than 200, or with a body that is not JSON.
         """
         body, encoding = compression.pack(orjson.dumps(message))
         headers = {**self._headers, "Accept-Encoding": compression.ENCODING}
@@ -61,8 +65,8 @@
         )
         self.received_bytes += len(reply.body)
         kind = path.rpartition("/")[2]
-        way = "far" if address in self.far_addresses else "near"
-        self.transferred[f"{kind}.{way}"] += len(body) + len(reply.body)
+        distance = "far" if address in self.far_addresses else "near"
+        self.transferred[f"{kind}.{distance}"] += len(body) + len(reply.body)
         if reply.status != 200:
             raise errors.DispatchError(
                 f"{address} answered {reply.status} to {path}; check that "
@@ -77,16 +81,17 @@
             data: dict[str, Any] = orjson.loads(body)
         except (errors.InvalidInputError, orjson.JSONDecodeError) as error:
             raise errors.DispatchError(
-                f"{address} answered {path} with what is no JSON ({error}); "
+                f"{address} answered {path} with a body that is not JSON "
+                f"({error}); "
                 f"check that the address is a node's internal port."
             ) from None
         return data
 
     @property
     def transferred_bytes(self) -> int:
-        """Bodies in both directions since the start."""
+        """Size of all bodies in both directions since the start."""
         return self.sent_bytes + self.received_bytes
 
     async def close(self) -> None:
-        """Closes connections."""
+        """Closes all connections to peers."""
         await self._peers.close()
