--- a/packages/burdockfront-node/src/burdockfront_node/controllers/anti_entropy.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Repairs: two nodes whose tables differ exchange what differs.
+"""Anti-entropy sync: two nodes exchange the entries in which they differ.
 
-Both send a digest per bucket and the entries of buckets that differ. Documents
-and crashes are repaired at once; members in the pace of
-`burdockfront.exchange_pace`.
+Each sends a digest per bucket, and the entries of the buckets whose digests
+differ. Documents and crashes are synchronised at once; members as often as
+`burdockfront.exchange_pace` allows.
 """
 
 import asyncio
@@ -25,24 +25,27 @@
 SYNC = "/peer/sync"
 
 _TIMEOUT_S = 3.0
-# Pushes and probes bring news of a change within about a second.
+# Pushes and probes spread a change within about a second.
 _QUIET_S = 1.0
-_LONGEST_UNEQUAL_S = 30.0
+_MAX_UNEQUAL_S = 30.0
 
 
 class AntiEntropySync:
-    """Repairs this node's tables with peers.
+    """Synchronises this node's tables with those of peers.
 
     Args:
-        link: The way to peers.
-        membership: Members as this node knows them.
-        configuration: Documents that this node knows.
-        crashes: Crashes of backend servers that this node knows of.
-        ready: Whether this node knows the configuration.
-        take: Takes the entries of a message into both tables, and the address
-            of its sender.
-        budget: What repairs of members may cost.
-        routes: Returns what this node says of its table of routes.
+        link: Sends messages to peers.
+        membership: Members known to this node.
+        configuration: Documents known to this node.
+        crashes: Crashes of backend servers known to this node.
+        ready: Set once this node knows the configuration.
+        apply: Merges a message into the tables; called with the message and
+            the address of its sender.
+        budget: Byte budget for synchronising members.
+        routes: Returns the version and age of this node's route table.
+
+    Attributes:
+        count: Number of syncs that this node has begun.
     """
 
     def __init__(
@@ -52,7 +55,7 @@
         configuration: configuration_lib.Configuration,
         crashes: crashes_lib.CrashBook,
         ready: asyncio.Event,
-        take: Callable[[dict[str, Any], str], None],
+        apply: Callable[[dict[str, Any], str], None],
         budget: exchange_pace.ByteBudget,
         routes: Callable[[], freshness.Claim],
     ):
@@ -63,61 +66,67 @@
         self._configuration = configuration
         self._crashes = crashes
         self._ready = ready
-        self._take = take
+        self._apply = apply
         self._budget = budget
-        self._pace = exchange_pace.RepairPace(
-            _QUIET_S, _LONGEST_UNEQUAL_S, time.monotonic()
+        self._pacer = exchange_pace.RepairPace(
+            _QUIET_S, _MAX_UNEQUAL_S, time.monotonic()
         )
 
     def changed(self) -> None:
-        """Notes that our members changed."""
-        self._pace.changed(time.monotonic())
+        """Records that the local member table has changed."""
+        self._pacer.changed(time.monotonic())
 
     async def after_probe(self, address: str, answer: dict[str, Any]) -> None:
-        """Repairs with a peer whose answer to a probe shows other digests.
+        """Synchronises with a peer if its answer to a probe shows a difference.
 
         Raises:
-            DispatchError: It did not answer, or not in a way we understand.
+            DispatchError: The peer did not answer, or sent a message that this
+                release can't read.
         """
-        with understood(address):
+        with reading_answer(address):
             members = self._members_due(answer["md"])
             documents = answer["cd"] != self._configuration.table.digest()
-            ours = self._crashes.table.digest()
-            crashes = answer.get("xd", ours) != ours
+            local = self._crashes.table.digest()
+            crashes = answer.get("xd", local) != local
         if members or documents or crashes:
             await self.run(address, members)
 
     async def run(self, address: str, members: bool) -> bool:
-        """Exchanges differing documents, and members if wanted.
+        """Exchanges differing documents and crashes, and optionally members.
+
+        Args:
+            address: Address of the peer.
+            members: Whether to synchronise members too.
 
         Returns:
             Whether the peer knows the configuration.
 
         Raises:
-            DispatchError: It did not answer, or not in a way we understand.
+            DispatchError: The peer did not answer, or sent a message that this
+                release can't read.
         """
         self.count += 1
         before_bytes = self._link.transferred_bytes
         answer = await self._link.ask(
-            address, SYNC, self._question(members), _TIMEOUT_S
+            address, SYNC, self._bucket_digests(members), _TIMEOUT_S
         )
-        with understood(address):
-            self._take(answer, address)
+        with reading_answer(address):
+            self._apply(answer, address)
             ready = bool(answer["ready"])
-            lacking = self._differing(answer)
-        if lacking["m"] or lacking["c"] or lacking["x"]:
-            await self._link.ask(address, PUSH, lacking, _TIMEOUT_S)
+            outgoing = self._differing(answer)
+        if outgoing["m"] or outgoing["c"] or outgoing["x"]:
+            await self._link.ask(address, PUSH, outgoing, _TIMEOUT_S)
         if members:
-            # Other messages may have passed meanwhile; to count them too
-            # only makes the next repair come later.
-            spent_bytes = self._link.transferred_bytes - before_bytes
-            self._budget.spend(spent_bytes, time.monotonic())
+            # This also counts other messages sent meanwhile, which only
+            # delays the next sync of members.
+            used_bytes = self._link.transferred_bytes - before_bytes
+            self._budget.spend(used_bytes, time.monotonic())
         return ready
 
     def on_sync(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answers with what the peer's buckets differ in."""
+        """Answers a peer's digests with the entries that differ."""
         return {
-            **self._question("mb" in message),
+            **self._bucket_digests("mb" in message),
             **self._differing(message),
             "ready": self._ready.is_set(),
             **claim_to_json(self._routes()),
@@ -125,23 +134,23 @@
 
     def _members_due(self, their_digest: str) -> bool:
         if their_digest == self._membership.table.digest():
-            self._pace.equal()
+            self._pacer.equal()
             return False
         now_s = time.monotonic()
-        return self._budget.open(now_s) and self._pace.due(now_s)
+        return self._budget.open(now_s) and self._pacer.due(now_s)
 
-    def _question(self, members: bool) -> dict[str, Any]:
-        """Returns our digests by bucket."""
-        question = {
+    def _bucket_digests(self, members: bool) -> dict[str, Any]:
+        """Returns the local digests by bucket."""
+        digests = {
             "cb": self._configuration.table.bucket_digests(),
             "xb": self._crashes.table.bucket_digests(),
         }
         if members:
-            question["mb"] = self._membership.table.bucket_digests()
-        return question
+            digests["mb"] = self._membership.table.bucket_digests()
+        return digests
 
     def _differing(self, theirs: dict[str, Any]) -> dict[str, Any]:
-        """Returns our entries of the buckets that a peer has otherwise."""
+        """Returns the local entries of buckets that differ from a peer's."""
         documents = self._configuration.table.differing(theirs["cb"])
         found: dict[str, Any] = {
             "m": [],
@@ -158,17 +167,18 @@
 
 
 def claim_to_json(claim: freshness.Claim) -> dict[str, Any]:
-    """Returns the fields of a message that say something of a table."""
+    """Returns the message fields for a claim about a route table."""
     return {"rv": claim.version, "ra": claim.age_s}
 
 
 def claim_from_json(message: dict[str, Any]) -> freshness.Claim:
-    """Reads what a message says of its sender's table.
+    """Reads a message's claim about its sender's route table.
 
     Raises:
-        ValueError: It is no number.
+        ValueError: The version is not a number, or the age is not a finite
+            number of seconds from zero up.
     """
-    # Nodes of an earlier release say no age.
+    # Nodes of an earlier release send no age.
     age_s = message.get("ra")
     if age_s is not None:
         age_s = float(age_s)
@@ -178,11 +188,15 @@
 
 
 @contextlib.contextmanager
-def understood(address: str) -> Iterator[None]:
-    """Treats an answer that this release can't read as no answer.
+def reading_answer(address: str) -> Iterator[None]:
+    """Treats an answer that this release can't read like a missing answer.
+
+    Args:
+        address: Address of the peer that answered.
 
     Raises:
-        DispatchError: Instead of whatever reading it raised.
+        DispatchError: The body of the `with` statement raised an error of the
+            kinds that a message in an unknown form leads to.
     """
     try:
         yield
@@ -194,6 +208,6 @@
         ValueError,
     ) as error:
         raise errors.DispatchError(
-            f"{address} answered what this release does not understand "
+            f"{address} sent an answer that this release can't read "
             f"({error!r}); all nodes must run compatible releases."
         ) from None
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -1,16 +1,18 @@
-"""Exchange of state with peers: probes and pushes.
-
-* Each period one member is probed. Probe and answer carry the digests of both
-  tables and recent changes. Unequal digests lead to a repair (`repairs`).
-* A change is pushed at once to a few peers, who push it on: to some of the own
-  data centre, and now and then to one of another (`Membership.far_share`).
-* Crashes of backend servers go with the messages as well (`crash_gossip`).
-* Messages carry the version of the routes in force, and how long ago it was
-  known to be the newest. Whoever hears of a newer one fetches the table from
-  the sender, and tells others.
-
-The cost per node does not depend on the number of nodes; what grows with it
-is only the number of changes, and those of members are paced (see
+"""Gossip with peers: probes, pushes and anti-entropy.
+
+* Each period one member is probed. Probe and answer carry the digests of the
+  tables and piggybacked updates. Unequal digests lead to a sync of the tables
+  (`anti_entropy`).
+* A change is pushed at once to a few peers, which push it on: to some of the
+  same data centre, and occasionally to one of another data centre
+  (`Membership.far_share`).
+* Crashes of backend servers are piggybacked too (`crash_gossip`).
+* Messages carry the version of the active route table, and how long ago it was
+  known to be the newest. A node that learns of a newer one fetches the table
+  from the sender and notifies its peers.
+
+The cost per node does not depend on the number of nodes. Only the number of
+changes grows with it, and changes of members have a byte budget (see
 `burdockfront.exchange_pace`).
 """
 
@@ -40,15 +42,18 @@
 PUSH = anti_entropy_lib.PUSH
 SYNC = anti_entropy_lib.SYNC
 
-_HELPERS = 2
-_RIDERS = 6
-_PUSHED_AT_ONCE = 48
-# A member's news is told to the peers of one push, and twice more: by a second
-# push if other news follows, or on probes. Repairs bring what is missed.
-_ON_PROBES = 2
+_INDIRECT_PROBERS = 2
+# Updates of a kind that are piggybacked on a message, and members in a push.
+_MAX_PIGGYBACKED = 6
+_MAX_PUSHED = 48
+# A member's change is sent to the peers of one push, and two more times: by a
+# second push if other changes follow, or on probes. Anti-entropy delivers what
+# these miss.
+_EXTRA_SENDS = 2
 PUSH_DELAY_S = 0.01
-# Members change in bunches when many are lost at once. A short wait puts a
-# bunch into one message; six such hops are still within a second.
+# When many members are lost at once, their changes come close together. A short
+# delay batches them into one message; six hops with it still take less than a
+# second.
 _MEMBERS_DELAY_S = 0.1
 _PROBE_SHARE = 0.4
 _MIN_PROBE_S = 0.25
@@ -68,26 +73,30 @@
 
 
 class Exchange:
-    """Carries both tables between nodes.
+    """Gossips members, documents and crashes with the peers.
 
     Args:
-        membership: Members as this node knows them.
-        configuration: Documents that this node knows.
-        settings: Pace and fan-out.
-        link: The way to peers.
-        recorder: Where events go.
-        ready: Whether this node knows the configuration.
-        on_members: Called when beliefs about members changed.
+        membership: Members known to this node.
+        configuration: Documents known to this node.
+        settings: Probe period, fan-out and byte budget.
+        link: Sends messages to peers.
+        recorder: Records events.
+        ready: Set once this node knows the configuration.
+        on_members: Called when the view of the members has changed.
         rng: Source of randomness.
-        routes: Returns what this node says of its table of routes.
-        on_route_claim: Called with the address of a peer that was heard of, and
-            what it says of its table.
-        on_probe_failure: Called when a member that was believed alive did not
+        routes: Returns the version and age of this node's route table.
+        on_route_claim: Called for each message from a peer that claims a
+            version of the route table, with the peer's address and the claim.
+        on_probe_failure: Called when a member that was considered alive did not
             answer a probe.
 
     Attributes:
-        crash_gossip: Crashes of backend servers, and who is told of them.
-        routes: Returns what this node says of its table of routes.
+        anti_entropy: Synchronises tables with a peer.
+        configuration: Documents known to this node.
+        crash_gossip: Crashes of backend servers, and their gossip.
+        link: Sends messages to peers.
+        membership: Members known to this node.
+        routes: Returns the version and age of this node's route table.
     """
 
     def __init__(
@@ -114,16 +123,17 @@
         self._recorder = recorder
         self._on_members = on_members
         self._rng = rng
-        self._member_rumors = tables.Rumors(settings.fanout + _ON_PROBES)
-        # Few, and in force within seconds: told three times as often.
-        self._policy_rumors = tables.Rumors(settings.fanout * settings.fanout)
-        self._news = asyncio.Event()
+        self._member_queue = tables.Rumors(settings.fanout + _EXTRA_SENDS)
+        # Policies are few and must be active within seconds, so their changes
+        # are sent three times as often at the default fan-out of three.
+        self._policy_queue = tables.Rumors(settings.fanout * settings.fanout)
+        self._has_changes = asyncio.Event()
         self.crash_gossip = crash_gossip_lib.CrashGossip(
             membership,
             settings.fanout * settings.fanout,
-            settings.fanout + _ON_PROBES,
+            settings.fanout + _EXTRA_SENDS,
             self._push_crash,
-            self._news.set,
+            self._has_changes.set,
             recorder,
         )
         self._route_news = route_news_lib.RouteNews(
@@ -137,7 +147,7 @@
             configuration,
             self.crash_gossip.tracker,
             ready,
-            self._take,
+            self._apply,
             exchange_pace.ByteBudget(rate, _BURST_BYTES),
             routes,
         )
@@ -148,20 +158,24 @@
     # ---- local changes -------------------------------------------------
 
     def update_me(self, **changes: Any) -> None:
-        """Changes this node's own entry and passes it on."""
+        """Changes this node's own entry and gossips it."""
         change = self.membership.update_me(time.monotonic(), **changes)
-        self._note_member(change)
+        self._on_member_change(change)
 
     def leave(self) -> None:
-        """Tells the others that this node goes for good."""
-        self._note_member(self.membership.leave(time.monotonic()))
+        """Announces that this node leaves for good."""
+        self._on_member_change(self.membership.leave(time.monotonic()))
 
     def merge_policy(self, entry: tables.Entry) -> bool:
-        """Takes a document, from wherever it came, and passes news on."""
+        """Merges a document from any source, and gossips it if it is new.
+
+        Returns:
+            Whether the document was newer than the known one.
+        """
         if not self.configuration.merge(entry, time.time()):
             return False
-        self._policy_rumors.add(entry.key)
-        self._news.set()
+        self._policy_queue.add(entry.key)
+        self._has_changes.set()
         rejected = self.configuration.rejected().get(entry.key)
         kind = "policy.rejected" if rejected else "policy.in-force"
         self._recorder.record(
@@ -175,10 +189,10 @@
         return True
 
     def notify_routes(self, first: bool) -> None:
-        """Tells others at once which version of the routes is in force.
+        """Announces at once which version of the route table is active here.
 
         Args:
-            first: Nobody of the own data centre told this node.
+            first: Whether no node of the same data centre sent this version.
         """
         self._route_news.tell(self.routes().version, first)
 
@@ -197,26 +211,27 @@
     async def push_forever(self) -> None:
         """Pushes changes to a few peers as soon as there are any."""
         while True:
-            await self._news.wait()
-            urgent = bool(self._policy_rumors) or self.crash_gossip.urgent
+            await self._has_changes.wait()
+            urgent = bool(self._policy_queue) or self.crash_gossip.urgent
             await asyncio.sleep(PUSH_DELAY_S if urgent else _MEMBERS_DELAY_S)
-            self._news.clear()
+            self._has_changes.clear()
             await self._push_round()
 
     async def join(
         self, addresses: list[str], enough: int, configured: bool = True
     ) -> int:
-        """Exchanges everything with some nodes; see `joins.Joiner.run`."""
+        """Synchronises all tables with some nodes; see `joins.Joiner.run`."""
         return await self._joiner.run(addresses, enough, configured)
 
     async def close(self) -> None:
-        """Tells some peers how this node left, and closes connections.
+        """Pushes this node's own entry to some peers and closes connections.
 
-        Its own entry alone, and whatever the budget says: while much other
-        news waits, the others would have to find out by failing probes.
+        The message holds no other member and ignores the byte budget. While
+        many other changes are queued, the entry would wait behind them, and
+        the peers would detect the departure only by failing probes.
         """
-        peers = self._listeners()
-        message = self._message(riders=0, peers=len(peers))
+        peers = self._push_targets()
+        message = self._message(piggybacked=0, peers=len(peers))
         message["m"] = [self.membership.me.to_entry().to_json()]
         await self._push(message, peers)
         await self.link.close()
@@ -225,11 +240,11 @@
 
     def on_probe(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answers a probe."""
-        self._take(message, str(message.get("a", "")))
+        self._apply(message, str(message.get("a", "")))
         return self._message()
 
     async def on_probe_for(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Probes a member on behalf of a peer who can't reach it."""
+        """Probes a member on behalf of a peer that can't reach it."""
         try:
             await self.link.ask(
                 message["address"], PROBE, self._message(), self._probe_s()
@@ -239,20 +254,20 @@
         return {"ok": True}
 
     def on_push(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Takes pushed changes."""
-        self._take(message, str(message.get("a", "")))
+        """Merges pushed changes."""
+        self._apply(message, str(message.get("a", "")))
         return {}
 
     # ---- internals -----------------------------------------------------
 
     def _advance(self) -> None:
         for change in self.membership.advance(time.monotonic()):
-            self._note_member(change)
+            self._on_member_change(change)
 
     async def _probe(self, member: members_lib.Member) -> None:
         for _ in range(2):
-            # The second try uses a new connection: the first may have met
-            # one that went silent, which says nothing about the member.
+            # The second attempt uses a new connection: the first one may have
+            # used a stale connection, which says nothing about the member.
             if await self._probe_once(member.address):
                 self.membership.answered(member)
                 return
@@ -260,66 +275,66 @@
                 self._on_probe_failure()
         if member.status is members_lib.Status.DEAD:
             return
-        if await self._reached_by_others(member):
+        if await self._probe_indirectly(member):
             return
         change = self.membership.suspect(member.node_id, time.monotonic())
         if change is not None:
-            self._note_member(change)
+            self._on_member_change(change)
 
     async def _probe_once(self, address: str) -> bool:
         try:
             answer = await self.link.ask(
                 address, PROBE, self._message(), self._probe_s()
             )
-            with anti_entropy_lib.understood(address):
-                self._take(answer, address)
+            with anti_entropy_lib.reading_answer(address):
+                self._apply(answer, address)
         except errors.DispatchError:
             return False
         try:
             await self.anti_entropy.after_probe(address, answer)
         except errors.DispatchError:
-            # It is alive; a later probe repairs.
+            # The member is alive; a later probe leads to another sync.
             pass
         return True
 
-    async def _reached_by_others(self, member: members_lib.Member) -> bool:
-        helpers = self.membership.helpers(member.node_id, _HELPERS)
-        asked = [
+    async def _probe_indirectly(self, member: members_lib.Member) -> bool:
+        probers = self.membership.helpers(member.node_id, _INDIRECT_PROBERS)
+        probes = [
             self.link.ask(
-                helper.address,
+                prober.address,
                 PROBE_FOR,
                 {"address": member.address},
                 3 * self._probe_s(),
             )
-            for helper in helpers
+            for prober in probers
         ]
-        answers = await asyncio.gather(*asked, return_exceptions=True)
+        answers = await asyncio.gather(*probes, return_exceptions=True)
         return any(isinstance(a, dict) and a.get("ok") for a in answers)
 
     async def _push_round(self) -> None:
         now_s = time.monotonic()
-        peers = self._listeners()
-        riders = _PUSHED_AT_ONCE if self._push_budget.open(now_s) else 0
-        message = self._message(riders, len(peers))
+        peers = self._push_targets()
+        members = _MAX_PUSHED if self._push_budget.open(now_s) else 0
+        message = self._message(members, len(peers))
         if not (message["m"] or message["c"] or message["x"]):
             return
         before_bytes = self.link.sent_bytes
         await self._push(message, peers)
         if message["m"]:
-            # Other messages may have passed meanwhile; to count them too only
-            # makes the next push of members come later.
-            spent_bytes = self.link.sent_bytes - before_bytes
-            self._push_budget.spend(spent_bytes, time.monotonic())
+            # This also counts other messages sent meanwhile, which only
+            # delays the next push of members.
+            used_bytes = self.link.sent_bytes - before_bytes
+            self._push_budget.spend(used_bytes, time.monotonic())
 
     async def _push_crash(
         self, entry: tables.Entry, peers: list[members_lib.Member]
     ) -> None:
-        message = self._message(riders=0)
+        message = self._message(piggybacked=0)
         message["x"].append(entry.to_json())
         await self._push(message, peers)
 
-    def _listeners(self) -> list[members_lib.Member]:
-        """Returns who is told news now: near members, and few others."""
+    def _push_targets(self) -> list[members_lib.Member]:
+        """Returns the members to push to: near ones, and a few far ones."""
         fanout = self._settings.fanout
         near = self.membership.near_peers(fanout)
         if not near:
@@ -335,40 +350,53 @@
         )
 
     async def _push_routes(self, peer: members_lib.Member) -> bool:
-        """Tells a peer which version is in force, and little besides."""
-        return await self._push_to(peer.address, self._message(riders=0))
+        """Announces the active route table to a peer, without any members.
+
+        Returns:
+            Whether the peer answered.
+        """
+        return await self._push_to(peer.address, self._message(piggybacked=0))
 
     async def _push_to(self, address: str, message: dict[str, Any]) -> bool:
         """Pushes a message; returns whether it was answered."""
         try:
             await self.link.ask(address, PUSH, message, self._probe_s())
         except errors.DispatchError:
-            # The digests repair what a push missed.
+            # The digests reveal what this push failed to deliver.
             return False
         return True
 
-    def _message(self, riders: int = _RIDERS, peers: int = 1) -> dict[str, Any]:
-        """Returns digests and recent changes."""
+    def _message(
+        self, piggybacked: int = _MAX_PIGGYBACKED, peers: int = 1
+    ) -> dict[str, Any]:
+        """Returns a message with digests and recent changes.
+
+        Args:
+            piggybacked: Largest number of members, and of acquittals.
+            peers: How many peers receive the message.
+        """
         members = self.membership.table
         documents = self.configuration.table
         return {
             "md": members.digest(),
             "cd": documents.digest(),
             "xd": self.crash_gossip.tracker.table.digest(),
-            "m": _entries(members, self._member_rumors.take(riders, peers)),
-            "c": _entries(documents, self._policy_rumors.take(_RIDERS, peers)),
-            "x": self.crash_gossip.piggyback(riders, peers),
+            "m": _entries(members, self._member_queue.take(piggybacked, peers)),
+            "c": _entries(
+                documents, self._policy_queue.take(_MAX_PIGGYBACKED, peers)
+            ),
+            "x": self.crash_gossip.piggyback(piggybacked, peers),
             "t": self._recorder.clock.tick(time.time()),
             **anti_entropy_lib.claim_to_json(self.routes()),
             "a": self.membership.me.address,
         }
 
-    def _take(self, message: dict[str, Any], sender: str = "") -> None:
-        """Takes what a message says.
+    def _apply(self, message: dict[str, Any], sender: str = "") -> None:
+        """Merges the entries of a message and reads its sender's route claim.
 
         Args:
-            message: The message.
-            sender: Address of the sender, if it is known.
+            message: A message of a peer.
+            sender: Address of the sender; empty if it is not known.
         """
         self._recorder.clock.observe(message.get("t", 0), time.time())
         if sender and "rv" in message:
@@ -377,21 +405,21 @@
             )
         for data in message["c"]:
             self.merge_policy(tables.entry_from_json(data))
-        # Nodes of the release before know of no crashes.
+        # Nodes of the previous release send no crashes.
         for data in message.get("x", ()):
             self.crash_gossip.merge(tables.entry_from_json(data))
         for data in message["m"]:
             entry = tables.entry_from_json(data)
             change = self.membership.merge(entry, time.monotonic())
             if change is not None:
-                self._note_member(change)
+                self._on_member_change(change)
 
-    def _note_member(self, change: membership_lib.Change) -> None:
+    def _on_member_change(self, change: membership_lib.Change) -> None:
         member = change.member
         self.anti_entropy.changed()
-        mine = member.node_id == self.membership.me.node_id
-        self._member_rumors.add(member.node_id, first=mine)
-        self._news.set()
+        is_local = member.node_id == self.membership.me.node_id
+        self._member_queue.add(member.node_id, first=is_local)
+        self._has_changes.set()
         self._on_members()
         self._recorder.record(
             time.time(),
