--- a/packages/burdockfront-node/src/burdockfront_node/controllers/joining.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/joining.py
@@ -1,17 +1,17 @@
-"""Finds the other nodes: at the start, and again whenever some are missing.
+"""Joins the cluster at the start, and contacts missing seeds from then on.
 
 A node learns members from seeds: addresses in its settings and in the
-platform's service. Looking for them once is not enough. A node whose seeds
-all start a moment after it (a data centre that comes back, a rack) would know
-nobody and be known by nobody; two regions whose nodes were all replaced while
-they had lost each other would both live on, each without the other. Symptom:
-"no such service" at some nodes for ever, and idle backend servers.
-
-So every node goes on looking for each seed that is no usable member, and
-watchers look for the platform's seeds of all data centres as well. Two sides
-that each have one seed of the other meet within one pause, and the exchange
-does the rest. When all seeds are members, which is the usual case, this costs
-nothing.
+platform's service. Joining once is not enough. If all seeds of a node start a
+moment after it (a data centre or a rack that recovers), the node knows no
+member and no member knows it. If two regions are partitioned and all nodes of
+both are replaced meanwhile, each region keeps running without the other.
+Symptom: "no such service" at some nodes for ever, and idle backend servers.
+
+So every node keeps contacting each seed that is not a usable member, and
+watchers contact the platform's seeds of all data centres as well. Two
+partitions that each know one seed of the other connect within one pause, and
+gossip merges them. When all seeds are members, which is the usual case, this
+costs nothing.
 """
 
 import asyncio
@@ -27,14 +27,14 @@
 _LOG = logging.getLogger(__name__)
 
 _START_RETRY_S = 0.5
-# One seed may be as new, or as cut off, as this node; three agree.
+# A single seed may be as new, or as cut off, as this node; so three are wanted.
 _ENOUGH = 3
 _FIRST_PAUSE_S = 1.0
-_MOST_PAUSE_S = 20.0
+_MAX_PAUSE_S = 20.0
 
 
 class Joining:
-    """Joins the others and stays joined.
+    """Joins the cluster and rejoins it after a partition.
 
     Args:
         addresses: Seeds from the settings.
@@ -42,9 +42,9 @@
             known before this node serves anything.
         seeds: Seeds in the platform's service.
         policies: Reads the configuration.
-        exchange: Exchanges everything with a peer.
+        exchange: Synchronises tables with a peer.
         ready: Set once the configuration is known.
-        recorder: Where events go.
+        recorder: Records events.
         rng: Source of randomness for pauses.
     """
 
@@ -69,30 +69,35 @@
         self._rng = rng
 
     async def join_forever(self) -> None:
-        """Says ready, and from then on looks for missing seeds."""
+        """Makes the node ready, and from then on contacts missing seeds."""
         if not self._ready.is_set():
             await self._become_ready()
-            # Peers may be behind a change that was accepted just now.
+            # Peers may not have received the latest accepted change yet.
             await self._policies.read()
         pause_s = _FIRST_PAUSE_S
         while True:
             await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.0))
-            pause_s = min(_MOST_PAUSE_S, pause_s * 2)
+            pause_s = min(_MAX_PAUSE_S, pause_s * 2)
             missing = await self.missing()
             if missing:
                 await self._exchange.join(missing, len(missing))
 
     async def _become_ready(self) -> None:
-        """Learns members and configuration, then says ready.
+        """Learns members and configuration, then makes the node ready.
 
-        A node that has heard neither the platform service nor a node that is
-        ready does not know which configuration is in force. It serves
-        nothing then: with its defaults, an accepted change would be undone.
+        A node that has an answer neither from the platform service nor from a
+        ready node does not know which configuration is active. It serves
+        nothing then, because with its defaults it would undo an accepted
+        change.
         """
         while True:
-            # Peers first: in an outage each question to the platform service
-            # costs its timeout, while callers are refused.
-            known = await self._exchange.join(self._near(), _ENOUGH) > 0
+            # Peers come first: in an outage of the platform service each
+            # request to it takes its full timeout, and callers are rejected
+            # meanwhile.
+            known = (
+                await self._exchange.join(self._seeds_and_members(), _ENOUGH)
+                > 0
+            )
             if not known:
                 known = await self._ask_platform()
             if known or not self._needs_configuration:
@@ -102,20 +107,24 @@
                 return
             await asyncio.sleep(_START_RETRY_S)
 
-    def _near(self) -> list[str]:
-        """Returns whom to ask first: seeds, and peers that found us."""
+    def _seeds_and_members(self) -> list[str]:
+        """Returns the seeds, and the members that have contacted this node."""
         members = self._exchange.membership.usable()
         addresses = [*self._addresses, *(m.address for m in members)]
         return list(dict.fromkeys(addresses))
 
     async def _ask_platform(self) -> bool:
-        """Reads documents and seeds; returns whether they are known now."""
+        """Reads documents and joins the platform's seeds.
+
+        Returns:
+            Whether the configuration is known now.
+        """
         known = await self._policies.read()
         seeds = await self._seeds.read()
         return await self._exchange.join(seeds, _ENOUGH) > 0 or known
 
     async def missing(self) -> list[str]:
-        """Returns seeds that are no usable members."""
+        """Returns the addresses of seeds that are not usable members."""
         addresses = list(self._addresses)
         if self._policies.watching():
             addresses += await self._seeds.read()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/seeds.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/seeds.py
@@ -1,9 +1,9 @@
-"""Seeds: a few addresses per data centre, for nodes that start.
+"""Seeds: a few node addresses per data centre, for starting nodes.
 
-One of the watchers of a data centre holds a lease and keeps the list in the
-platform's service up to date. Before each write it asks its lease holder for
-a token, which fails after a pause that outlived the lease; and the write is a
-compare-and-swap, so a write already on its way can't undo a newer one.
+One of the watchers of a data centre holds a lease and keeps the data centre's
+list in the platform's service up to date. Each write needs a fencing token,
+which is refused if the process was paused for longer than the lease. The write
+is a compare-and-swap, so a delayed write can't undo a newer one.
 """
 
 import asyncio
@@ -26,7 +26,13 @@
 
 
 class Seeds:
-    """Reads seeds, and writes them where this node holds the lease."""
+    """Reads seeds, and writes them while this node holds the lease.
+
+    Args:
+        platform: Client of the platform's service, if there is one.
+        exchange: Knows the members.
+        policies: Knows whether this node is a watcher.
+    """
 
     def __init__(
         self,
@@ -40,7 +46,7 @@
         self._holder = leases.LeaseHolder(_MARGIN_S)
 
     async def read(self) -> list[str]:
-        """Returns the addresses of all data centres' seeds, or none."""
+        """Returns the seeds of all data centres; none if they can't be read."""
         if self._platform is None:
             return []
         try:
@@ -61,15 +67,15 @@
             await asyncio.sleep(_CHECK_S)
 
     async def _write_once(self, platform: platform_lib.PlatformClient) -> None:
-        me = self._exchange.membership.me
+        local = self._exchange.membership.me
         asked_at_s = time.monotonic()
         grant = await platform.acquire(
-            f"seeds-{me.data_center}", me.boot_id, _LEASE_S
+            f"seeds-{local.data_center}", local.boot_id, _LEASE_S
         )
         if grant is None:
             return
         self._holder.granted(grant, asked_at_s)
-        key = PREFIX + me.data_center
+        key = PREFIX + local.data_center
         snapshot = await platform.read(key)
         found = next((i for i in snapshot.items if i.key == key), None)
         addresses = self._addresses()
@@ -90,7 +96,7 @@
 
 
 def _addresses_of(item: platform_lib.Item) -> list[str]:
-    """Returns the addresses of a data centre, or none that make sense."""
+    """Returns the valid addresses in a data centre's list of seeds."""
     found = item.value.get("addresses")
     if not isinstance(found, list):
         return []
--- a/tests/unit/test_joining_many.py
+++ b/tests/unit/test_joining_many.py
@@ -90,7 +90,7 @@
         link = _Link(many, ready=True)
         ready = await _exchange(link).join(sorted(many), 3)
         assert ready >= 3
-        assert len(link.asked) <= 3 + joins._JOINS_AT_ONCE
+        assert len(link.asked) <= 3 + joins._MAX_CONCURRENT
 
     asyncio.run(scenario())
 
