--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -1,4 +1,4 @@
-"""The backend server's place in membership follows its announcements."""
+"""Publishes the state of the backend server in this node's member entry."""
 
 import asyncio
 import time
@@ -12,14 +12,15 @@
 
 
 class Backends:
-    """Tells peers of the backend server beside this node.
+    """Announces the backend server beside this node to the peers.
 
     Args:
         guard: The guard of the backend server.
-        exchange: Tells peers.
-        recorder: Where events go.
-        silent_after_s: Without an announcement for so long it is gone.
-        check_s: How often that is checked.
+        exchange: Gossips with the peers.
+        recorder: Records events.
+        timeout_s: Time without an announcement after which the backend server
+            is considered gone.
+        check_s: Interval between checks of the timeout.
     """
 
     def __init__(
@@ -27,19 +28,19 @@
         guard: guard_lib.Guard,
         exchange: exchange_lib.Exchange,
         recorder: timeline.Recorder,
-        silent_after_s: float = backend_lib.SILENT_AFTER_S,
+        timeout_s: float = backend_lib.SILENT_AFTER_S,
         check_s: float = _CHECK_S,
     ):
-        self._silent_after_s = silent_after_s
+        self._timeout_s = timeout_s
         self._check_s = check_s
         self._guard = guard
         self._exchange = exchange
         self._recorder = recorder
-        self._heard_at_s = 0.0
+        self._announced_at_s = 0.0
 
     def announce(self, announcement: backend_lib.Announcement) -> None:
-        """Takes an announcement."""
-        self._heard_at_s = time.monotonic()
+        """Processes an announcement of the backend server."""
+        self._announced_at_s = time.monotonic()
         before = self._guard.announcement
         self._guard.announce(announcement)
         if before is None or before.state != announcement.state:
@@ -52,25 +53,30 @@
         self.publish()
 
     def on_new_incarnation(self, planned: bool) -> None:
-        """Notes that what announces itself now is another incarnation.
+        """Prepares the guard for another incarnation of the backend server.
 
         Args:
-            planned: The one before had said that it leaves.
+            planned: Whether the previous incarnation had announced that it
+                leaves.
         """
         self._guard.begin_anew(planned)
 
     def publish(self) -> None:
-        """Updates this node's entry if it says anything else."""
+        """Updates this node's member entry if the backend's state changed."""
         announced = self._guard.announcement
         service = announced.service if announced else ""
         slots = self._guard.slots
         draining = not self._guard.takes_work
-        me = self._exchange.membership.me
-        if (me.service, me.slots, me.draining) != (service, slots, draining):
+        local = self._exchange.membership.me
+        if (local.service, local.slots, local.draining) != (
+            service,
+            slots,
+            draining,
+        ):
             self._exchange.update_me(
                 service=service, slots=slots, draining=draining
             )
-        if announced and slots != me.slots:
+        if announced and slots != local.slots:
             self._recorder.record(
                 time.time(),
                 "backend.slots",
@@ -80,14 +86,14 @@
             )
 
     async def watch_forever(self) -> None:
-        """Withdraws a backend server that no longer announces itself."""
+        """Withdraws a backend server whose announcements have stopped."""
         while True:
             await asyncio.sleep(self._check_s)
-            # Also tells of a stall that began or ended.
+            # This also publishes a stall that began or ended.
             self.publish()
-            silent_s = time.monotonic() - self._heard_at_s
+            silent_s = time.monotonic() - self._announced_at_s
             announced = self._guard.announcement
-            if announced and silent_s > self._silent_after_s:
+            if announced and silent_s > self._timeout_s:
                 self._recorder.record(
                     time.time(),
                     "backend.silent",
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Takes the heartbeats of the backend server beside this node."""
+"""Processes the heartbeats of the backend server beside this node."""
 
 import math
 import time
@@ -9,33 +9,33 @@
 from burdockfront_node import backend as backend_lib
 from burdockfront_node.controllers import backends as backends_lib
 
-# Heartbeats come about every 1.5 s and may be seconds late. A server that has
-# crashed is found out sooner, because it refuses connections.
+# Heartbeats arrive about every 1.5 s and may be seconds late. A crashed server
+# is detected sooner, because it refuses connections.
 TIMEOUT_S = 7.0
 CHECK_S = 1.0
-# Some backend servers slow down for all their requests when nearly full; the
-# last few slots then cost more than they bring.
+# Some backend servers slow down for all their requests when nearly full, and
+# using the last few slots then lowers the throughput.
 _USABLE_SLOTS = 0.95
-# How much they slow down then, about. A server that leaves one of its three
-# slots idle does two thirds of what it could; slowed down, it does three
-# quarters.
+# The factor by which these servers slow down, approximately. A server that
+# leaves one of its three slots idle reaches two thirds of its throughput; with
+# all slots in use and slowed down, it reaches three quarters.
 _FULL_USE_SLOWDOWN = 1.3
 
 
 class Heartbeats:
     """Turns heartbeats into announcements.
 
-    What is acknowledged here binds this node at once, whatever the store and
-    the peers know: the guard asks the same incarnations before each request
-    that it hands over.
+    A heartbeat that is acknowledged here takes effect on this node at once,
+    independently of the store and the peers: the guard checks the same
+    incarnations before it hands over each request.
 
     Args:
-        address: Where the backend server takes requests.
-        incarnations: Which incarnation is in service.
-        backends: Tells the guard and the peers.
-        recorder: Where events go.
+        address: Address at which the backend server accepts requests.
+        incarnations: Knows which incarnation is in service.
+        backends: Announces the backend server to the guard and the peers.
+        recorder: Records events.
         service: Service that the settings name for this VM.
-        book: The table in force, which names all others.
+        book: The active route table, which names all other services.
     """
 
     def __init__(
@@ -53,10 +53,10 @@
         self._recorder = recorder
         self._book = book
         self._service = service
-        self._told: incarnations_lib.Heartbeat | None = None
+        self._announced: incarnations_lib.Heartbeat | None = None
 
     def hear(self, beat: incarnations_lib.Heartbeat) -> None:
-        """Takes a heartbeat; one of a service nobody knows is left out."""
+        """Processes a heartbeat; one of an unknown service is ignored."""
         if not self._knows(beat.service):
             self._record(
                 "backend.unknown-service", beat.instance_id, beat.sequence
@@ -67,34 +67,36 @@
             self._record("backend.ignored", beat.instance_id, beat.sequence)
 
     def leave(self, instance_id: str) -> None:
-        """Takes the end of an incarnation."""
+        """Processes the announcement that an incarnation leaves."""
         if self._incarnations.leave(instance_id):
             self._announce()
         else:
             self._record("backend.left", instance_id, -1)
 
     def on_leave_notice(self, start: incarnations_lib.Start) -> None:
-        """Takes that a start said on an answer that it leaves."""
+        """Processes a notice of leaving that came with an answer."""
         if self._incarnations.leave_start(start):
             self._announce()
 
     def _knows(self, service: str) -> bool:
-        """Whether a service is this VM's own, or one that operators named."""
+        """Whether a service is this VM's own, or in the route table."""
         return service == self._service or self._book.names(service)
 
     def _announce(self) -> None:
         current = self._incarnations.current
         assert current is not None
-        told = self._told
-        anew = (
-            told is None
-            or told.instance_id != current.instance_id
-            or told.born_ms not in (None, current.born_ms)
+        previous = self._announced
+        is_new = (
+            previous is None
+            or previous.instance_id != current.instance_id
+            or previous.born_ms not in (None, current.born_ms)
         )
-        self._told = current
-        if anew:
-            self._backends.on_new_incarnation(told is None or told.leaving)
-        if anew or told is None or told.leaving != current.leaving:
+        self._announced = current
+        if is_new:
+            self._backends.on_new_incarnation(
+                previous is None or previous.leaving
+            )
+        if is_new or previous is None or previous.leaving != current.leaving:
             kind = (
                 "backend.leaving" if current.leaving else "backend.in-service"
             )
@@ -118,6 +120,10 @@
 
 
 def usable_slots(slots: int) -> int:
-    """Returns how many of a backend server's slots are to be used at once."""
+    """Returns how many slots of a backend server to use at once.
+
+    Leaves a few slots idle, unless that costs more throughput than the
+    slow-down of a server whose slots are all in use.
+    """
     usable = math.floor(slots * _USABLE_SLOTS)
     return slots if usable < slots / _FULL_USE_SLOWDOWN else usable
