--- a/packages/burdockfront-node/src/burdockfront_node/controllers/__init__.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers keep the state that nodes share, each in tasks of its own."""
+"""Controllers: background tasks that maintain the state nodes share."""
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/control_cost.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/control_cost.py
@@ -1,7 +1,7 @@
-"""What it costs a node to know the others, in bytes and in calls of the store.
+"""Cost of a node's control traffic, in bytes and in calls of the store.
 
-One line at intervals, so that whoever wonders about the traffic between data
-centres or the load of the store finds the kind of message that causes it.
+It is logged periodically by kind of message, to show which kind causes traffic
+between data centres or load on the store.
 """
 
 import collections
@@ -11,11 +11,11 @@
 
 
 class ControlCost:
-    """Counts since the start, and since the last line.
+    """Counts control traffic since the start and since the last report.
 
     Args:
-        link: The way to peers.
-        store: The way to the store, if there is one.
+        link: Sends messages to peers.
+        store: Sends requests to the store, if there is one.
     """
 
     def __init__(
@@ -23,10 +23,10 @@
     ):
         self._link = link
         self._store = store
-        self._told: collections.Counter[str] = collections.Counter()
+        self._reported: collections.Counter[str] = collections.Counter()
 
     def totals(self) -> collections.Counter[str]:
-        """Returns counts since the start, by the name of their metric."""
+        """Returns the counts since the start, by name of metric."""
         found: collections.Counter[str] = collections.Counter()
         for kind, size_bytes in self._link.transferred.items():
             found[f"exchange.{kind}_bytes"] = size_bytes
@@ -36,8 +36,8 @@
         return found
 
     def since_last_report(self) -> dict[str, int]:
-        """Returns what was added since the last question."""
+        """Returns the counts since the last call of this method."""
         totals = self.totals()
-        added = totals - self._told
-        self._told = totals
+        added = totals - self._reported
+        self._reported = totals
         return dict(added)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exposition.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exposition.py
@@ -1,7 +1,7 @@
-"""Serves metrics as text, for whoever fetches them.
+"""HTTP endpoint for metrics in the Prometheus text format.
 
-Counters are plain integers where they arise (see `metrics`); they are turned
-into text only when somebody asks. Latency is kept in histograms.
+Counters are plain integers where they are counted (see `metrics`) and are
+converted to text on each request. Latency is kept in histograms.
 """
 
 from collections.abc import Callable
@@ -23,12 +23,12 @@
 
 
 class Exposition:
-    """The application of the metrics port.
+    """The application on the metrics port.
 
     Args:
-        metrics: What is counted.
-        latencies: What is measured.
-        log: For the lines that it left out.
+        metrics: Counters and gauges.
+        latencies: Latency histograms.
+        log: Counts the log lines that it dropped.
         more: Yields further metrics.
     """
 
@@ -51,7 +51,7 @@
         )
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yields counters and gauges as they stand."""
+        """Yields the current counters and gauges."""
         for name, value in self._metrics.counters().items():
             yield core.CounterMetricFamily(_name(name), name, value=value)
         for name, amount in self._metrics.gauges().items():
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
@@ -1,4 +1,4 @@
-"""Forgets what is old, and logs what was spent, every few seconds."""
+"""Periodic clean-up of expired state, and logging of traffic costs."""
 
 import asyncio
 import time
@@ -10,21 +10,22 @@
 from burdockfront_node.controllers import exchange as exchange_lib
 from burdockfront_node.controllers import metrics as metrics_lib
 
-_EVERY_S = 5.0
-# Services and classes in one line on calls to other data centres.
-_MOST_WAYS = 8
+_INTERVAL_S = 5.0
+# Services and classes in one event about calls to other data centres.
+_MAX_TRANSFERS = 8
 
 
 class Housekeeping:
-    """What a node does now and then.
+    """Removes expired state and logs traffic costs.
 
     Args:
-        guard: Whose ledger forgets expired tickets.
-        dispatcher: Whose levels fade, and who sent calls far.
-        exchange: Whose crashes are forgotten, and what it moved.
-        metrics: What control cost.
-        recorder: Where events go.
-        wall_s: A wall clock that never steps back.
+        guard: Owns the ledger with tickets that expire.
+        dispatcher: Owns levels that expire, and counts the bytes of calls to
+            other data centres.
+        exchange: Owns crashes that expire, and counts its traffic.
+        metrics: Counts the cost of control traffic.
+        recorder: Records events.
+        wall_s: Returns the time of a wall clock that never steps back.
     """
 
     def __init__(
@@ -44,31 +45,31 @@
         self._wall_s = wall_s
 
     async def keep_forever(self) -> None:
-        """Does it as long as the node runs."""
+        """Cleans up and logs periodically."""
         while True:
-            await asyncio.sleep(_EVERY_S)
+            await asyncio.sleep(_INTERVAL_S)
             self._guard.ledger.expire(self._wall_s())
             self._exchange.crash_gossip.tracker.forget(time.time())
             self._dispatcher.book.forget(time.monotonic())
-            self._tell_ways()
-            self._tell_control_cost()
+            self._record_far_transfers()
+            self._record_control_cost()
 
-    def _tell_ways(self) -> None:
-        """Logs what was sent to other data centres since the last time."""
-        moved = self._dispatcher.sender.feedback.far_bytes
-        if not moved:
+    def _record_far_transfers(self) -> None:
+        """Logs traffic to other data centres since the last call."""
+        transferred = self._dispatcher.sender.feedback.far_bytes
+        if not transferred:
             return
         self._recorder.record(
             time.time(),
             "ways.moved",
-            total_bytes=moved.total(),
-            most_bytes=dict(moved.most_common(_MOST_WAYS)),
+            total_bytes=transferred.total(),
+            most_bytes=dict(transferred.most_common(_MAX_TRANSFERS)),
             exchanged_bytes=self._exchange.link.transferred_bytes,
         )
-        moved.clear()
+        transferred.clear()
 
-    def _tell_control_cost(self) -> None:
-        """Logs what the exchange and the store cost since the last time."""
+    def _record_control_cost(self) -> None:
+        """Logs the cost of the exchange and the store since the last call."""
         added = self._metrics.control_cost.since_last_report()
         if added:
             self._recorder.record(time.time(), "control.cost", added=added)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/latencies.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/latencies.py
@@ -1,9 +1,9 @@
 """Latency histograms, fed by the events of the time line.
 
-Every request ends in an event that says how long it took and what became of it,
-so nothing else has to be measured on the way. Counts are plain numbers here and
-become the metrics library's type when somebody asks: its own histograms take a
-lock for each number, a tenth of all that an event costs.
+Every request ends in an event with its duration and outcome, so no further
+measurements are needed. Counts are plain numbers here, and are converted to the
+metrics library's types when metrics are collected: the library's own histograms
+take a lock for each observation, a tenth of the total cost of an event.
 """
 
 import bisect
@@ -13,17 +13,17 @@
 
 from burdockfront import timeline
 
-# From the fastest call of a service to the longest that a caller waits.
+# From the fastest call of a service to the longest wait of a caller.
 _BOUNDS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 _NAMES = (*(str(bound_s) for bound_s in _BOUNDS_S), "+Inf")
 
 
 class Latencies:
-    """Histograms of one process.
+    """Latency histograms of one process.
 
     Attributes:
-        entry_s: From a caller's request to its final answer.
-        backend_s: From a hand-over to the backend server's answer.
+        entry_s: Time from a caller's request to its final answer.
+        backend_s: Time from hand-over to the backend server's answer.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         )
 
     def observe(self, event: timeline.Event) -> None:
-        """Takes an event, if it ends a request."""
+        """Records the latency if the event ends a request."""
         detail = event.detail
         if event.kind == "entry.answered":
             self.entry_s.observe(detail["outcome"], detail["elapsed_s"])
@@ -48,11 +48,11 @@
 
 
 class Histogram:
-    """Times by outcome.
+    """Histogram of durations, by outcome.
 
     Args:
-        name: Name after the product's prefix.
-        text: What is measured.
+        name: Name of the metric, without the product's prefix.
+        text: Help text of the metric.
     """
 
     def __init__(self, name: str, text: str):
@@ -62,7 +62,7 @@
         self._sums_s: dict[str, float] = {}
 
     def observe(self, outcome: str, elapsed_s: float) -> None:
-        """Counts a time."""
+        """Adds an observed duration."""
         counts = self._counts.get(outcome)
         if counts is None:
             counts = self._counts[outcome] = [0] * len(_NAMES)
@@ -71,7 +71,7 @@
         self._sums_s[outcome] += elapsed_s
 
     def collect(self) -> Iterator[core.Metric]:
-        """Yields the histogram as the metrics library wants it."""
+        """Yields the histogram as a type of the metrics library."""
         family = core.HistogramMetricFamily(
             self._name, self._text, labels=["outcome"]
         )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/metrics.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/metrics.py
@@ -1,8 +1,8 @@
-"""Sends metrics by statsd, a batch per interval.
+"""Collects metrics and sends them by statsd, in a batch per interval.
 
-Sending one packet per event would cost more than the decisions; counters are
-kept as plain integers where they arise and sent as differences here. The page
-docs/METRICS.md lists each name, type and unit.
+One packet per event would cost more than the decision that the event reports.
+So counters are plain integers where they are counted, and their increments are
+sent from here. The page docs/METRICS.md lists each name, type and unit.
 """
 
 import asyncio
@@ -19,14 +19,26 @@
 from burdockfront_node.controllers import store_link
 
 _KIB = 1024
-# For an age that is not known.
-_NEVER_S = -1.0
-# Of a backend server that names no limit.
+# Gauge value of an unknown age.
+_UNKNOWN_AGE_S = -1.0
+# Gauge value for a backend server that reports no limit.
 _NO_LIMIT = -1.0
 
 
 class Metrics:
-    """Collects and sends."""
+    """Collects the metrics of a node and sends them by statsd.
+
+    Args:
+        settings: Where to send metrics; None to send none.
+        node_id: Name of this node, part of each statsd name.
+        dispatcher: Source of the router's counters.
+        guard: Source of the guard's counters and gauges.
+        exchange: Source of metrics of gossip and members.
+        store: Source of metrics of the store, if there is one.
+
+    Attributes:
+        control_cost: Cost of control traffic.
+    """
 
     def __init__(
         self,
@@ -70,7 +82,7 @@
         return found
 
     def gauges(self) -> dict[str, float]:
-        """Returns values of this moment."""
+        """Returns the current values of all gauges."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         crashes = self._exchange.crash_gossip.tracker
         claim = self._exchange.routes()
@@ -92,14 +104,16 @@
             "requests.suspected": crashes.suspects,
             "requests.quarantined": len(crashes.quarantined),
             "routes.version": claim.version,
-            "routes.age_s": _NEVER_S if claim.age_s is None else claim.age_s,
+            "routes.age_s": _UNKNOWN_AGE_S
+            if claim.age_s is None
+            else claim.age_s,
             "policy.revision": self._exchange.configuration.revision(),
             "process.cpu_s": round(usage.ru_utime + usage.ru_stime, 3),
             "process.max_rss_bytes": usage.ru_maxrss * _KIB,
         }
 
     async def send_forever(self) -> None:
-        """Sends a batch per interval, if a receiver is set."""
+        """Sends a batch per interval, if a statsd server is configured."""
         if self._settings is None:
             return
         host, _, port = self._settings.address.rpartition(":")
