--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -55,16 +55,20 @@
         self._service = service
         self._announced: incarnations_lib.Heartbeat | None = None
 
-    def hear(self, beat: incarnations_lib.Heartbeat) -> None:
+    def hear(self, heartbeat: incarnations_lib.Heartbeat) -> None:
         """Processes a heartbeat; one of an unknown service is ignored."""
-        if not self._knows(beat.service):
+        if not self._knows(heartbeat.service):
             self._record(
-                "backend.unknown-service", beat.instance_id, beat.sequence
+                "backend.unknown-service",
+                heartbeat.instance_id,
+                heartbeat.sequence,
             )
-        elif self._incarnations.hear(beat):
+        elif self._incarnations.hear(heartbeat):
             self._announce()
         else:
-            self._record("backend.ignored", beat.instance_id, beat.sequence)
+            self._record(
+                "backend.ignored", heartbeat.instance_id, heartbeat.sequence
+            )
 
     def leave(self, instance_id: str) -> None:
         """Processes the announcement that an incarnation leaves."""
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of the model of many nodes, as tests begin with them."""
+"""Fleets of model nodes for tests, and ways to lose nodes of them."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,10 +9,10 @@
 
 
 async def a_settled_fleet(
-    nodes: int, places: int, seed: int
+    nodes: int, data_centers: int, seed: int
 ) -> exchange_model.Fleet:
-    """Returns a fleet whose nodes know each other and a table."""
-    fleet = exchange_model.Fleet(nodes, places, seed)
+    """Returns a fleet whose nodes know each other and have a route table."""
+    fleet = exchange_model.Fleet(nodes, data_centers, seed)
     await fleet.start_all()
     await asyncio.sleep(START_S)
     fleet.change_routes(1)
@@ -32,11 +32,11 @@
 
 
 def cut_off(fleet: exchange_model.Fleet, names: list[str]) -> None:
-    """Freezes processes, or cuts their VMs off: nobody hears an answer."""
+    """Freezes processes, or partitions their VMs: requests get no answer."""
     fleet.faults.cut.update(names)
     fleet.faults.store_silent.update(names)
 
 
 def cut_off_from_store(fleet: exchange_model.Fleet, names: list[str]) -> None:
-    """Cuts nodes off from the store alone: other nodes reach them."""
+    """Cuts nodes off from the store only: other nodes still reach them."""
     fleet.faults.store_silent.update(names)
--- a/tests/unit/test_incompatible_peers.py
+++ b/tests/unit/test_incompatible_peers.py
@@ -1,4 +1,4 @@
-"""A peer that answers what this release does not understand."""
+"""Messages and answers of peers that this release can't read."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 
 class _Link:
-    """Stands in for the way to peers: each answer is the same."""
+    """A link to peers that gives the same answer to each request."""
 
     transferred_bytes = 0
 
@@ -56,9 +56,9 @@
 
 
 @pytest.mark.parametrize("answer", _ANSWERS)
-def test_joining_goes_on_past_a_peer_that_is_not_understood(answer):
-    # A seed runs another release. Its answer ended the task that joins, and
-    # the node was never ready, with one line in its log.
+def test_join_survives_an_answer_that_can_not_be_read(answer):
+    # A seed ran another release. Its answer ended the task that joins the
+    # cluster, so the node was never ready, with a single line in its log.
     async def join() -> int:
         return await _an_exchange(answer).join(["10.0.0.1:1"], 1)
 
@@ -66,9 +66,9 @@
 
 
 @pytest.mark.parametrize("answer", _ANSWERS)
-def test_probing_goes_on_past_a_peer_that_is_not_understood(answer):
-    # As above, for the task that probes: the node served on, but found no
-    # failure any more and heard of nothing that pushes missed.
+def test_probe_survives_an_answer_that_can_not_be_read(answer):
+    # The same failure in the task that probes: the node kept serving, but
+    # detected no failures any more and received nothing that pushes missed.
     async def probe() -> bool:
         exchange = _an_exchange(answer)
         return await exchange._probe_once("10.0.0.1:1")
@@ -77,9 +77,10 @@
 
 
 @pytest.mark.parametrize("body", [b"[]", b"7", b"{", b'{"t": 1}', b'"x"'])
-def test_message_that_is_not_understood_is_refused_with_the_remedy(body):
-    # The other direction: such a peer asks us. It got "500 Internal Server
-    # Error" for some of these, which names neither side's fault.
+def test_message_that_can_not_be_read_is_rejected_with_the_remedy(body):
+    # The opposite direction: such a peer sends a request. For some of these
+    # bodies it got "500 Internal Server Error", which does not say what is
+    # wrong on which side.
     exchange = _an_exchange({})
 
     async def on_push(message: dict[str, object]) -> dict[str, object]:
@@ -97,16 +98,16 @@
     assert b"compatible releases" in response.body
 
 
-def test_task_that_fails_begins_again():
-    # A controller meets what nobody thought of. Its task ended and the node
-    # went on without it: ready, serving, and deaf.
+def test_failed_task_is_restarted():
+    # An unexpected error ended the task of a controller. The node remained
+    # ready and kept serving without it, and no longer received any changes.
     recorder = timeline.Recorder("n1", "dc1", 10)
     runs = []
 
     async def work() -> None:
         runs.append(1)
         if len(runs) < 3:
-            raise RuntimeError("nobody thought of this")
+            raise RuntimeError("an unexpected error")
 
     asyncio.run(supervision.keep_running(work, recorder, pause_s=0.0))
     assert len(runs) == 3
--- a/tests/unit/test_joining.py
+++ b/tests/unit/test_joining.py
@@ -1,4 +1,4 @@
-"""Whom a node looks for after it has joined."""
+"""Which nodes a node contacts at its start and after it has joined."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 
 
 class _Seeds:
-    """Seeds of the platform's service; counts how often it was asked."""
+    """Seeds of the platform's service, with a count of reads."""
 
     def __init__(self, addresses: list[str]):
         self._addresses = addresses
@@ -23,7 +23,7 @@
 
 
 class _Exchange:
-    """Knows some members; so many of those it asks are ready."""
+    """An exchange with fixed members, and a fixed number of ready peers."""
 
     def __init__(self, members: list[members_lib.Member], ready_peers: int):
         self.membership = types.SimpleNamespace(usable=lambda: members)
@@ -36,18 +36,18 @@
 
 
 class _Joining(joining_lib.Joining):
-    """With what the tests look at."""
+    """Joining, with attributes that tests inspect."""
 
     ready: asyncio.Event
     exchange_asks: list[str]
 
 
-async def _never_read() -> bool:
+async def _reads_nothing() -> bool:
     return False
 
 
-async def _first_try(joining: joining_lib.Joining) -> None:
-    """Lets a node join until it first has to wait."""
+async def _first_attempt(joining: joining_lib.Joining) -> None:
+    """Runs the first attempt of a node to join."""
     task = asyncio.create_task(joining.join_forever())
     await asyncio.sleep(0.05)
     task.cancel()
@@ -66,7 +66,7 @@
         ["10.0.0.1:1", "10.0.0.2:1"],
         True,
         seeds,
-        types.SimpleNamespace(watching=lambda: watching, read=_never_read),
+        types.SimpleNamespace(watching=lambda: watching, read=_reads_nothing),
         exchange,
         ready,
         timeline.Recorder("n0", "dc1", 10),
@@ -77,45 +77,46 @@
     return joining
 
 
-def test_seeds_that_are_members_are_not_looked_for():
+def test_seeds_that_are_members_are_not_missing():
     seeds = _Seeds(["10.9.0.1:1"])
     joining = _a_joining(["10.0.0.1:1", "10.0.0.2:1"], False, seeds)
     assert asyncio.run(joining.missing()) == []
     assert seeds.reads == 0
 
 
-def test_seed_of_the_settings_that_is_no_member_is_looked_for():
+def test_seed_of_the_settings_that_is_no_member_is_missing():
     joining = _a_joining(["10.0.0.2:1"], False, _Seeds([]))
     assert asyncio.run(joining.missing()) == ["10.0.0.1:1"]
 
 
-def test_starting_node_asks_members_that_found_it():
-    # Its seeds are gone and the platform service is down. Peers that knew the
-    # process before it probe its address and exchange members with it, yet it
-    # waited for the end of the outage with the backend server idle.
+def test_starting_node_asks_members_that_contacted_it():
+    # All seeds are gone and the platform service is down. Peers that knew the
+    # previous process probe the address of this node and exchange members with
+    # it. Yet the node did not ask them and waited for the end of the outage,
+    # with its backend server idle.
     seeds = _Seeds([])
     joining = _a_joining(["10.0.0.9:1"], False, seeds)
     asked = joining.exchange_asks
-    asyncio.run(_first_try(joining))
+    asyncio.run(_first_attempt(joining))
     assert "10.0.0.9:1" in asked
 
 
 def test_starting_node_does_not_wait_for_the_platform_if_peers_answer():
-    # The platform service is down, and each question costs its timeout. With
-    # a ready peer at hand the answer is known, and callers of this node were
-    # refused for two seconds more.
+    # The platform service is down, and each request to it takes its full
+    # timeout. The node asked it first although a ready peer could answer,
+    # and rejected callers for two more seconds.
     seeds = _Seeds([])
     joining = _a_joining(["10.0.0.9:1"], False, seeds, ready_peers=1)
-    asyncio.run(_first_try(joining))
+    asyncio.run(_first_attempt(joining))
     assert joining.ready.is_set()
     assert seeds.reads == 0
 
 
-def test_watcher_looks_for_a_region_whose_nodes_were_all_replaced():
-    # Two regions lost each other, and one of them was replaced meanwhile,
-    # with new addresses. Neither knows a member of the other any more, and
-    # each serves on without the other's backend servers. The platform's
-    # service has seeds of both.
+def test_watcher_contacts_a_region_whose_nodes_were_all_replaced():
+    # Two regions were partitioned, and all nodes of one were replaced
+    # meanwhile, with new addresses. Neither region knows a member of the other
+    # any more, and each keeps serving without the other's backend servers. The
+    # platform's service lists seeds of both.
     seeds = _Seeds(["10.9.0.1:1", "10.0.0.1:1"])
     joining = _a_joining(["10.0.0.1:1", "10.0.0.2:1"], True, seeds)
     assert asyncio.run(joining.missing()) == ["10.9.0.1:1"]
--- a/tests/unit/test_joining_many.py
+++ b/tests/unit/test_joining_many.py
@@ -1,4 +1,4 @@
-"""A node that starts while many listed nodes are gone."""
+"""Start of a node while many of the listed nodes are gone."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class _Link:
-    """Knows which nodes live; a call to any other is never answered."""
+    """A link to peers on which only living nodes answer."""
 
     transferred_bytes = 0
 
@@ -23,7 +23,7 @@
         self._living = living
         self._ready = ready
         self.asked: list[str] = []
-        self.given_up: list[str] = []
+        self.cancelled: list[str] = []
 
     async def ask(self, address: str, path: str, *_: object) -> object:
         if path == exchange_lib.PUSH:
@@ -33,7 +33,7 @@
             try:
                 await asyncio.Event().wait()
             except asyncio.CancelledError:
-                self.given_up.append(address)
+                self.cancelled.append(address)
                 raise
         await asyncio.sleep(0)
         empty = tables.Table().bucket_digests()
@@ -67,23 +67,24 @@
 
 
 def test_start_does_not_wait_for_nodes_that_are_gone():
-    # All processes are killed at once, a minute after some VMs were taken away
-    # for good; the store still lists those. No node knows the configuration
-    # from another one yet, so all of the list is asked. One after the other,
-    # the silent ones kept every node out for a second and a half.
+    # All processes were killed at once, a minute after some VMs had been
+    # removed for good that the store still listed. No node had the
+    # configuration from another one yet, so all listed nodes were asked. They
+    # were asked one after the other, and the time-outs of the removed ones kept
+    # every node from serving for a second and a half.
     async def scenario() -> None:
         link = _Link(_LIVING, ready=False)
         ready = await _exchange(link).join(sorted(_LIVING | _GONE), 3)
         assert ready == 0
         assert set(link.asked) >= _LIVING
         await asyncio.sleep(0)
-        assert set(link.given_up) == set(link.asked) & _GONE
+        assert set(link.cancelled) == set(link.asked) & _GONE
 
     asyncio.run(scenario())
 
 
-def test_start_asks_no_more_than_it_needs():
-    # A place of hundreds of nodes: each start asks a handful.
+def test_start_asks_no_more_nodes_than_it_needs():
+    # In a cluster of hundreds of nodes, a starting node asks only a few.
     many = {f"10.0.{number}.1:1" for number in range(200)}
 
     async def scenario() -> None:
@@ -95,7 +96,7 @@
     asyncio.run(scenario())
 
 
-def test_nobody_who_answers_is_no_error():
+def test_join_without_any_answer_is_not_an_error():
     class _Refusing(_Link):
         async def ask(self, address: str, path: str, *_: object) -> object:
             raise errors.DispatchError("refused")
--- a/tests/unit/test_leaving_news.py
+++ b/tests/unit/test_own_changes_first.py
@@ -1,4 +1,4 @@
-"""A node's own news goes first, also when much other news waits."""
+"""A node's own changes are sent first even if many others are queued."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class _Link:
-    """Keeps what is sent."""
+    """A link to peers that records messages and answers at once."""
 
     transferred_bytes = 0
 
@@ -34,7 +34,7 @@
         return {}
 
     async def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing, as no connection is open."""
 
 
 def _an_exchange(link: _Link) -> exchange_lib.Exchange:
@@ -53,7 +53,7 @@
     )
 
 
-def _news_of(count: int) -> dict[str, object]:
+def _changes_of(count: int) -> dict[str, object]:
     members = [builders.a_member(f"m{index}") for index in range(count)]
     return {"m": [m.to_entry().to_json() for m in members], "c": []}
 
@@ -61,7 +61,7 @@
 async def _push_for_a_while(exchange: exchange_lib.Exchange) -> None:
     pushing = asyncio.create_task(exchange.push_forever())
     for _ in range(8):
-        exchange.on_push(_news_of(1))
+        exchange.on_push(_changes_of(1))
         await asyncio.sleep(0.12)
     pushing.cancel()
 
@@ -70,16 +70,17 @@
     return [entry[0] for entry in message["m"]]
 
 
-def test_leaving_is_told_although_the_budget_is_spent():
-    # A data centre was lost and its news fills the queue and the budget. A
-    # node that is stopped as planned just then must not be left to be found
-    # by failing probes, while callers still try it.
+def test_leaving_is_announced_although_the_byte_budget_is_used_up():
+    # The changes of a lost data centre fill the queue and use up the byte
+    # budget. A node that is stopped just then must still announce that it
+    # leaves. Otherwise peers notice only by failing probes, and callers try it
+    # meanwhile.
     async def scenario() -> list[dict[str, object]]:
         link = _Link()
         exchange = _an_exchange(link)
-        exchange.on_push(_news_of(300))
+        exchange.on_push(_changes_of(300))
         await _push_for_a_while(exchange)
-        assert len(link.sent) <= 9, "the budget has not been spent"
+        assert len(link.sent) <= 9, "the byte budget is not used up"
         link.sent.clear()
         exchange.leave()
         await exchange.close()
@@ -90,11 +91,11 @@
     assert all(_names(message) == ["n1"] for message in sent)
 
 
-def test_own_drain_is_told_before_news_of_others():
+def test_own_drain_is_sent_before_changes_of_other_members():
     async def scenario() -> dict[str, object]:
         link = _Link()
         exchange = _an_exchange(link)
-        exchange.on_push(_news_of(300))
+        exchange.on_push(_changes_of(300))
         exchange.update_me(draining=True)
         await _push_for_a_while(exchange)
         return link.sent[0]
--- a/tests/unit/test_usable_slots.py
+++ b/tests/unit/test_usable_slots.py
@@ -1,8 +1,8 @@
-"""How many slots of a backend server are used at once.
+"""Tests how many slots of a backend server are used at once.
 
-Pattern: a deep service of many small servers in an overload. Grounds: servers
-that slow down when nearly full do so by about a third, so what they do in full
-use is slots / 1.3.
+The case behind them is an overload of a deep service with many small servers.
+Servers that slow down when nearly full do so by about a third, so their
+throughput with all slots in use is proportional to slots / 1.3.
 """
 
 import pytest
@@ -13,9 +13,10 @@
 
 
 @pytest.mark.parametrize("slots", range(1, 200))
-def test_no_server_does_less_than_it_would_in_full_use(slots):
-    # Of 39 servers with three slots each left one idle: a third of the deepest
-    # service, while half of all listings died of its refusals.
+def test_throughput_is_not_below_that_with_all_slots_in_use(slots):
+    # Each of 39 servers with three slots left one of them idle. That took a
+    # third of the capacity of the deepest service, while half of all listings
+    # failed because of its rejections.
     assert heartbeats.usable_slots(slots) >= slots / _SLOWDOWN
     assert heartbeats.usable_slots(slots) <= slots
 
@@ -24,5 +25,7 @@
     ("slots", "usable"),
     [(1, 1), (2, 2), (3, 3), (4, 4), (5, 4), (9, 8), (47, 44)],
 )
-def test_few_slots_are_all_used_and_of_many_some_stay_idle(slots, usable):
+def test_servers_with_few_slots_use_all_and_others_leave_some_idle(
+    slots, usable
+):
     assert heartbeats.usable_slots(slots) == usable
