--- a/packages/burdockfront-node/src/burdockfront_node/controllers/anti_entropy.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/anti_entropy.py
@@ -132,8 +132,8 @@
             **claim_to_json(self._routes()),
         }
 
-    def _members_due(self, their_digest: str) -> bool:
-        if their_digest == self._membership.table.digest():
+    def _members_due(self, peer_digest: str) -> bool:
+        if peer_digest == self._membership.table.digest():
             self._pacer.equal()
             return False
         now_s = time.monotonic()
@@ -149,19 +149,19 @@
             digests["mb"] = self._membership.table.bucket_digests()
         return digests
 
-    def _differing(self, theirs: dict[str, Any]) -> dict[str, Any]:
+    def _differing(self, peer_digests: dict[str, Any]) -> dict[str, Any]:
         """Returns the local entries of buckets that differ from a peer's."""
-        documents = self._configuration.table.differing(theirs["cb"])
+        documents = self._configuration.table.differing(peer_digests["cb"])
         found: dict[str, Any] = {
             "m": [],
             "c": [entry.to_json() for entry in documents],
             "x": [],
         }
-        if "xb" in theirs:
-            crashes = self._crashes.table.differing(theirs["xb"])
+        if "xb" in peer_digests:
+            crashes = self._crashes.table.differing(peer_digests["xb"])
             found["x"] = [entry.to_json() for entry in crashes]
-        if "mb" in theirs:
-            members = self._membership.table.differing(theirs["mb"])
+        if "mb" in peer_digests:
+            members = self._membership.table.differing(peer_digests["mb"])
             found["m"] = [entry.to_json() for entry in members]
         return found
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -244,7 +244,11 @@
         return self._message()
 
     async def on_probe_for(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Probes a member on behalf of a peer that can't reach it."""
+        """Probes a member on behalf of a peer that can't reach it.
+
+        Returns:
+            Whether the member answered, as `ok`.
+        """
         try:
             await self.link.ask(
                 message["address"], PROBE, self._message(), self._probe_s()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
@@ -77,7 +77,7 @@
         if not path or self._incarnations.current is not None:
             return
         asked_s = time.monotonic()
-        health = await self._ask(path)
+        health = await self._request_health(path)
         # A heartbeat that arrived meanwhile takes precedence.
         if health is None or self._incarnations.current is not None:
             return
@@ -99,7 +99,7 @@
             start = incarnations_lib.Start(health.instance_id)
             self._beliefs.answered(health.said, start, asked_s)
 
-    async def _ask(self, path: str) -> surroundings.Health | None:
+    async def _request_health(self, path: str) -> surroundings.Health | None:
         request = connection_lib.encode_request(
             "GET", path, self._address, (), b""
         )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/joining.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/joining.py
@@ -99,7 +99,7 @@
                 > 0
             )
             if not known:
-                known = await self._ask_platform()
+                known = await self._join_through_platform()
             if known or not self._needs_configuration:
                 self._ready.set()
                 self._recorder.record(time.time(), "node.ready")
@@ -113,7 +113,7 @@
         addresses = [*self._addresses, *(m.address for m in members)]
         return list(dict.fromkeys(addresses))
 
-    async def _ask_platform(self) -> bool:
+    async def _join_through_platform(self) -> bool:
         """Reads documents and joins the platform's seeds.
 
         Returns:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/joins.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/joins.py
@@ -81,7 +81,7 @@
                 while waiting and len(running) < min(
                     concurrency, _MAX_CONCURRENT
                 ):
-                    request = self._ask(waiting.pop())
+                    request = self._sync(waiting.pop())
                     running.add(asyncio.create_task(request))
                 last_s = _LAST_ANSWERS_S if answered else None
                 done, running = await asyncio.wait(
@@ -104,7 +104,7 @@
                 task.cancel()
         return counted
 
-    async def _ask(self, address: str) -> bool | None:
+    async def _sync(self, address: str) -> bool | None:
         """Synchronises with a node.
 
         Returns:
