--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -43,7 +43,8 @@
 SYNC = anti_entropy_lib.SYNC
 
 _INDIRECT_PROBERS = 2
-# Updates of a kind that are piggybacked on a message, and members in a push.
+# Largest number of updates of each kind that are piggybacked on a message, and
+# of members in a push.
 _MAX_PIGGYBACKED = 6
 _MAX_PUSHED = 48
 # A member's change is sent to the peers of one push, and two more times: by a
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -35,7 +35,7 @@
         backends: Announces the backend server to the guard and the peers.
         recorder: Records events.
         service: Service that the settings name for this VM.
-        book: The active route table, which names all other services.
+        resolver: The active route table, which names all other services.
     """
 
     def __init__(
@@ -45,13 +45,13 @@
         backends: backends_lib.Backends,
         recorder: timeline.Recorder,
         service: str,
-        book: routes_lib.RouteBook,
+        resolver: routes_lib.RouteBook,
     ):
         self._address = address
         self._incarnations = incarnations
         self._backends = backends
         self._recorder = recorder
-        self._book = book
+        self._resolver = resolver
         self._service = service
         self._announced: incarnations_lib.Heartbeat | None = None
 
@@ -84,7 +84,7 @@
 
     def _knows(self, service: str) -> bool:
         """Whether a service is this VM's own, or in the route table."""
-        return service == self._service or self._book.names(service)
+        return service == self._service or self._resolver.names(service)
 
     def _announce(self) -> None:
         current = self._incarnations.current
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
@@ -41,11 +41,11 @@
         data_center: Data centre of the backend server.
         address: Address at which the backend server accepts requests.
         dialect: Parses the answer to the health check.
-        book: The active route table, which has the path of the health check.
+        resolver: The active route table, which has the health check's path.
         route_watch: Signals when a route table is known.
         incarnations: Knows which incarnation is in service.
         heartbeats: Receives the result as a heartbeat.
-        beliefs: Receives the self report in the answer.
+        reports: Receives the self report in the answer.
     """
 
     def __init__(
@@ -54,26 +54,26 @@
         data_center: str,
         address: str,
         dialect: surroundings.Dialect,
-        book: routes_lib.RouteBook,
+        resolver: routes_lib.RouteBook,
         route_watch: route_watch_lib.RouteWatch,
         incarnations: incarnations_lib.Incarnations,
         heartbeats: heartbeats_lib.Heartbeats,
-        beliefs: backend_beliefs.BackendBeliefs,
+        reports: backend_beliefs.BackendBeliefs,
     ):
         self._service = service
         self._data_center = data_center
         self._address = address
         self._dialect = dialect
-        self._book = book
+        self._resolver = resolver
         self._route_watch = route_watch
         self._incarnations = incarnations
         self._heartbeats = heartbeats
-        self._beliefs = beliefs
+        self._reports = reports
 
     async def run(self) -> None:
         """Checks once; if it fails, the next heartbeat reports the state."""
         await self._route_watch.wait_for_routes(_ROUTES_TIMEOUT_S)
-        path = self._book.health_path(self._service)
+        path = self._resolver.health_path(self._service)
         if not path or self._incarnations.current is not None:
             return
         asked_s = time.monotonic()
@@ -97,7 +97,7 @@
             # An empty self report here does not show that the server has no
             # limit, so it is ignored.
             start = incarnations_lib.Start(health.instance_id)
-            self._beliefs.answered(health.said, start, asked_s)
+            self._reports.answered(health.said, start, asked_s)
 
     async def _request_health(self, path: str) -> surroundings.Health | None:
         request = connection_lib.encode_request(
