--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -26,10 +26,10 @@
 from burdockfront_node import settings as settings_lib
 from burdockfront_node.controllers import directory as directory_lib
 from burdockfront_node.controllers import exchange as exchange_lib
-from burdockfront_node.controllers import other_nodes
 from burdockfront_node.controllers import peer_link
+from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import (
-    quarantine_keeper as quarantine_keeper_lib,
+    quarantine_store as quarantine_store_lib,
 )
 from burdockfront_node.controllers import route_joining as route_joining_lib
 from burdockfront_node.controllers import route_watch as route_watch_lib
@@ -112,13 +112,13 @@
         store: Any = model_store.StoreClient(
             fleet.store, fleet.faults, fleet.costs, self.name, rng
         )
-        news = self.exchange.crash_news
-        self.keeper = quarantine_keeper_lib.QuarantineKeeper(
-            me.boot_id, store, news.book, news.take
+        news = self.exchange.crash_gossip
+        self.keeper = quarantine_store_lib.QuarantineStore(
+            me.boot_id, store, news.tracker, news.merge
         )
-        news.on_quarantined = self.keeper.keep
+        news.on_quarantined = self.keeper.persist
         self.directory = directory_lib.Directory(
-            store, self.exchange, rng, self.keeper.take
+            store, self.exchange, rng, self.keeper.load
         )
         self.watch = route_watch_lib.RouteWatch(
             store,
@@ -128,7 +128,7 @@
             link,
             recorder,
             self._store_returned,
-            other_nodes.OtherNodes(self.exchange),
+            peer_notifier.ExchangePeerNotifier(self.exchange),
             rng,
         )
         self._joining = route_joining_lib.RouteJoining(
@@ -171,7 +171,7 @@
             exchange_lib.PROBE: self.exchange.on_probe,
             exchange_lib.PROBE_FOR: self.exchange.on_probe_for,
             exchange_lib.PUSH: self.exchange.on_push,
-            exchange_lib.SYNC: self.exchange.repairs.on_sync,
+            exchange_lib.SYNC: self.exchange.anti_entropy.on_sync,
             route_watch_lib.ROUTES: self.watch.on_peer,
         }[path]
 
@@ -181,12 +181,12 @@
         self.exchange.update_local_member(service=self._service, slots=12)
 
     def _store_returned(self) -> None:
-        self.directory.store_returned()
-        self.keeper.store_returned()
+        self.directory.on_store_recovered()
+        self.keeper.on_store_recovered()
 
     def _doubt(self) -> None:
         self.watch.doubt()
-        self.keeper.doubt()
+        self.keeper.on_probe_failure()
 
     def _say_ready(self) -> None:
         self.ready.set()
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -31,12 +31,14 @@
 from burdockfront_node.controllers import backends as backends_lib
 from burdockfront_node.controllers import directory as directory_lib
 from burdockfront_node.controllers import exposition as exposition_lib
-from burdockfront_node.controllers import first_look as first_look_lib
 from burdockfront_node.controllers import heartbeats as heartbeats_lib
-from burdockfront_node.controllers import other_nodes
+from burdockfront_node.controllers import (
+    initial_health_check as initial_health_check_lib,
+)
+from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import policies as policies_lib
 from burdockfront_node.controllers import (
-    quarantine_keeper as quarantine_keeper_lib,
+    quarantine_store as quarantine_store_lib,
 )
 from burdockfront_node.controllers import quota_exchange as quota_exchange_lib
 from burdockfront_node.controllers import quota_limits
@@ -85,12 +87,12 @@
     def _routes_claim(self) -> freshness.Claim:
         return self._route_watch.freshness.claim()
 
-    def _on_routes(self, address: str, claim: freshness.Claim) -> None:
+    def _on_route_claim(self, address: str, claim: freshness.Claim) -> None:
         self._route_watch.heard_of(address, claim)
 
-    def _on_unanswered(self) -> None:
+    def _on_probe_failure(self) -> None:
         self._route_watch.doubt()
-        self._quarantine_keeper.doubt()
+        self._quarantine_store.on_probe_failure()
 
     def _build_sources(self) -> None:
         store = store_lib.StoreClient(
@@ -99,11 +101,11 @@
         self._store_link = store.link
         store.link.on_new_era = self._store_came_back_older
         self._policies = policies_lib.Policies(None, self._exchange)
-        self._quarantine_keeper = quarantine_keeper_lib.QuarantineKeeper(
+        self._quarantine_store = quarantine_store_lib.QuarantineStore(
             self._boot_id,
             store,
-            self._exchange.crash_news.book,
-            self._exchange.crash_news.take,
+            self._exchange.crash_gossip.tracker,
+            self._exchange.crash_gossip.merge,
         )
         self._quotas = quota_exchange_lib.QuotaExchange(
             self._exchange,
@@ -115,9 +117,11 @@
         self._accounts = account_status_lib.AccountStatus(
             self._book, self._quotas
         )
-        self._exchange.crash_news.on_quarantined = self._quarantine_keeper.keep
+        self._exchange.crash_gossip.on_quarantined = (
+            self._quarantine_store.persist
+        )
         self._directory = directory_lib.Directory(
-            store, self._exchange, self._rng, self._quarantine_keeper.take
+            store, self._exchange, self._rng, self._quarantine_store.load
         )
         self._route_watch = route_watch_lib.RouteWatch(
             store,
@@ -127,7 +131,7 @@
             self._exchange.link,
             self._recorder,
             self._store_returned,
-            other_nodes.OtherNodes(self._exchange),
+            peer_notifier.ExchangePeerNotifier(self._exchange),
             self._rng,
         )
         self._joining_routes = route_joining_lib.RouteJoining(
@@ -141,8 +145,8 @@
         )
 
     def _store_returned(self) -> None:
-        self._directory.store_returned()
-        self._quarantine_keeper.store_returned()
+        self._directory.on_store_recovered()
+        self._quarantine_store.on_store_recovered()
 
     def _store_came_back_older(self) -> None:
         """Forgets revisions and leases, and has written anew what is gone.
@@ -210,7 +214,7 @@
             self._guard,
             self._exchange,
             self._recorder,
-            heartbeats_lib.SILENT_AFTER_S,
+            heartbeats_lib.TIMEOUT_S,
             heartbeats_lib.CHECK_S,
         )
 
@@ -250,17 +254,19 @@
             self._place.service,
             self._book,
         )
-        self._guard.on_server_leaving = heartbeats.said_leaving
-        self._first_look = first_look_lib.FirstLook(
-            self._place.service,
-            self._settings.data_center,
-            self._place.backend_address,
-            self._adapter.dialect,
-            self._book,
-            self._route_watch,
-            self._incarnations,
-            heartbeats,
-            self._guard.beliefs,
+        self._guard.on_server_leaving = heartbeats.on_leave_notice
+        self._initial_health_check = (
+            initial_health_check_lib.InitialHealthCheck(
+                self._place.service,
+                self._settings.data_center,
+                self._place.backend_address,
+                self._adapter.dialect,
+                self._book,
+                self._route_watch,
+                self._incarnations,
+                heartbeats,
+                self._guard.beliefs,
+            )
         )
         exposition = exposition_lib.Exposition(
             self._metrics, self._latencies, self._log, self._accounts.metrics
@@ -320,9 +326,9 @@
             self._route_watch.watch_forever,
             self._route_watch.freshness.watch_forever,
             self._route_watch.checks.check_forever,
-            self._quarantine_keeper.write_forever,
-            self._quarantine_keeper.read_forever,
-            self._first_look.look,
+            self._quarantine_store.write_forever,
+            self._quarantine_store.read_forever,
+            self._initial_health_check.run,
             self._quotas.report_forever,
             *self._common_works(),
         ]
