--- a/packages/burdockfront-node/src/burdockfront_node/crash_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
@@ -75,7 +75,7 @@
     at_s: float
 
 
-class CrashWatch:
+class CrashDetector:
     """Watches the runs at one backend server.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -17,7 +17,7 @@
 from burdockfront import timeline
 from burdockfront_client import calls
 from burdockfront_node import backend_probe
-from burdockfront_node import crash_watch as crash_watch_lib
+from burdockfront_node import crash_detector as crash_detector_lib
 
 # An innocent suspect that waits longer is better off at another server; it has
 # not run, so it may go there.
@@ -41,19 +41,21 @@
         book: crashes.CrashTracker,
         tell: Callable[[tables.Entry], None],
         recorder: timeline.Recorder,
-        is_gone: crash_watch_lib.IsGone = backend_probe.is_gone,
+        is_gone: crash_detector_lib.IsGone = backend_probe.is_gone,
     ):
         self._book = book
         self._tell = tell
         self._recorder = recorder
         self._turns = _Turns()
-        self.watch = crash_watch_lib.CrashWatch(boot_id, self._crashed, is_gone)
+        self.watch = crash_detector_lib.CrashDetector(
+            boot_id, self._crashed, is_gone
+        )
 
     def refusal_of(self, call: calls.Call) -> outcomes.Answer | None:
         """Returns the refusal of a call that is not to run now."""
         if not self._book.suspects:
             return None
-        suspect = crash_watch_lib.suspect_of(call)
+        suspect = crash_detector_lib.suspect_of(call)
         return self._refusal_of(call, suspect, self._judge(suspect))
 
     async def enter(self, attempt: calls.Attempt) -> outcomes.Answer | None:
@@ -64,7 +66,7 @@
         """
         if not self._book.suspects:
             return None
-        suspect = crash_watch_lib.suspect_of(attempt.call)
+        suspect = crash_detector_lib.suspect_of(attempt.call)
         judgement = self._judge(suspect)
         if judgement.standing is crashes.Standing.ALONE:
             attempt_id = attempt.context.attempt_id
@@ -100,7 +102,7 @@
     def _acquit(self, attempt: calls.Attempt) -> None:
         if not self._book.suspects:
             return
-        suspect = crash_watch_lib.suspect_of(attempt.call)
+        suspect = crash_detector_lib.suspect_of(attempt.call)
         for entry in self._book.acquittals_of(suspect, time.time()):
             self._tell(entry)
 
@@ -128,7 +130,7 @@
     def _judge(self, suspect: crashes.Suspect) -> crashes.Assessment:
         return self._book.assess(suspect, time.monotonic(), time.time())
 
-    def _crashed(self, crash: crash_watch_lib.Crash) -> None:
+    def _crashed(self, crash: crash_detector_lib.Crash) -> None:
         """Tells of a crash of the backend server beside this node."""
         suspects = [at_work.suspect for at_work in crash.at_work]
         self._recorder.record(
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -203,7 +203,7 @@
         """Asks one node after the other, as long as it ran nowhere."""
         self._ids += 1
         attempt = builders.an_attempt(f"r-{self._ids}", target=target)
-        suspect = quarantine_lib.crash_watch_lib.suspect_of(attempt.call)
+        suspect = quarantine_lib.crash_detector_lib.suspect_of(attempt.call)
         self._targets[suspect.fingerprint] = target
         sites = self.rng.sample(self.sites, len(self.sites))
         answer = _UNREACHABLE
--- a/tests/unit/test_crash_watch.py
+++ b/tests/unit/test_crash_detector.py
@@ -8,7 +8,7 @@
 
 from burdockfront import outcomes
 from burdockfront_client import calls
-from burdockfront_node import crash_watch as crash_watch_lib
+from burdockfront_node import crash_detector as crash_detector_lib
 from tests import builders
 
 _LOST = outcomes.unknown(outcomes.Reason.LOST_ANSWER)
@@ -20,8 +20,8 @@
     def __init__(self) -> None:
         self.gone = True
         self.asked = 0
-        self.told: list[crash_watch_lib.Crash] = []
-        self.watch = crash_watch_lib.CrashWatch(
+        self.told: list[crash_detector_lib.Crash] = []
+        self.watch = crash_detector_lib.CrashDetector(
             "boot", self.told.append, self._is_gone
         )
 
@@ -69,7 +69,7 @@
         second = world.begin("second")
         await world.lose(first)
         await world.lose(second)
-        await asyncio.sleep(2 * crash_watch_lib._GATHER_S)
+        await asyncio.sleep(2 * crash_detector_lib._GATHER_S)
         assert world.watch.crashes == 1
         assert world.suspects() == [{"first", "second"}]
 
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -11,7 +11,7 @@
 from burdockfront import outcomes
 from burdockfront import timeline
 from burdockfront_client import calls
-from burdockfront_node import crash_watch
+from burdockfront_node import crash_detector
 from burdockfront_node import quarantine as quarantine_lib
 from tests import builders
 
@@ -27,7 +27,7 @@
     def crash(self, *attempts: calls.Attempt) -> None:
         """Notes a crash of another server under the same requests."""
         self.crashes += 1
-        suspects = [crash_watch.suspect_of(one.call) for one in attempts]
+        suspects = [crash_detector.suspect_of(one.call) for one in attempts]
         entry = builders.a_crash(
             f"other.{self.crashes}", *suspects, at_s=_wall_s()
         )
@@ -113,7 +113,7 @@
             assert refusal.retry_after_s > 60.0
         # From the id that a caller complains of to the crashes.
         told = world.recorder.select(timeline.Filter(request="r-2"), 9)[-1]
-        suspect = crash_watch.suspect_of(deadly.call)
+        suspect = crash_detector.suspect_of(deadly.call)
         assert told.detail["fingerprint"] == suspect.fingerprint
 
     asyncio.run(scenario())
