--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -10,7 +10,7 @@
 from burdockfront import timeline
 from burdockfront_client import calls
 from burdockfront_node import availability as availability_lib
-from burdockfront_node import backend_beliefs
+from burdockfront_node import backend_self_reports
 from burdockfront_node import gate as gate_lib
 from burdockfront_node import handover as handover_lib
 from burdockfront_node import lineage as lineage_lib
@@ -43,7 +43,7 @@
         lineage: lineage_lib.Lineage | None,
         policy_of: Callable[[str], policy_lib.Policy],
         recorder: timeline.Recorder,
-        beliefs: backend_beliefs.BackendBeliefs,
+        beliefs: backend_self_reports.BackendSelfReports,
         refusals_lower_slots: bool,
     ):
         self.gate: gate_lib.Gate | None = None
--- a/packages/burdockfront-node/src/burdockfront_node/backend_beliefs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_self_reports.py
@@ -18,7 +18,7 @@
 _MOST_TOLD = 8
 
 
-class BackendBeliefs:
+class BackendSelfReports:
     """Beliefs about the start of a backend server that is in service.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -18,7 +18,7 @@
 from burdockfront import self_reports
 from burdockfront_client import connection as connection_lib
 from burdockfront_client import pool as pool_lib
-from burdockfront_node import backend_beliefs
+from burdockfront_node import backend_self_reports
 from burdockfront_node import surroundings
 from burdockfront_node.controllers import heartbeats as heartbeats_lib
 from burdockfront_node.controllers import route_watch as route_watch_lib
@@ -58,7 +58,7 @@
         route_watch: route_watch_lib.RouteWatch,
         incarnations: incarnations_lib.IncarnationTracker,
         heartbeats: heartbeats_lib.Heartbeats,
-        beliefs: backend_beliefs.BackendBeliefs,
+        beliefs: backend_self_reports.BackendSelfReports,
     ):
         self._service = service
         self._data_center = data_center
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -26,8 +26,8 @@
 from burdockfront_client import peers as peers_lib
 from burdockfront_node import availability as availability_lib
 from burdockfront_node import backend as backend_lib
-from burdockfront_node import backend_beliefs
 from burdockfront_node import backend_runs
+from burdockfront_node import backend_self_reports
 from burdockfront_node import gate as gate_lib
 from burdockfront_node import handover as handover_lib
 from burdockfront_node import lineage as lineage_lib
@@ -93,7 +93,7 @@
         self.ledger = ledger
         self._counters = GuardCounters()
         self._dispatcher = dispatcher
-        self.beliefs = backend_beliefs.BackendBeliefs(recorder)
+        self.beliefs = backend_self_reports.BackendSelfReports(recorder)
         self.beliefs.on_leaving = self._server_leaves
         self._runs = backend_runs.BackendRuns(
             handover
--- a/tests/unit/test_backend_beliefs.py
+++ b/tests/unit/test_backend_self_reports.py
@@ -5,14 +5,16 @@
 from burdockfront import incarnations
 from burdockfront import self_reports
 from burdockfront import timeline
-from burdockfront_node import backend_beliefs
+from burdockfront_node import backend_self_reports
 
 _START = incarnations.Incarnation("i-1")
 
 
-def _beliefs() -> tuple[backend_beliefs.BackendBeliefs, timeline.Recorder]:
+def _beliefs() -> tuple[
+    backend_self_reports.BackendSelfReports, timeline.Recorder
+]:
     recorder = timeline.Recorder("n1", "dc1", 100)
-    beliefs = backend_beliefs.BackendBeliefs(recorder)
+    beliefs = backend_self_reports.BackendSelfReports(recorder)
     beliefs.in_service(_START)
     return beliefs, recorder
 
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -9,7 +9,7 @@
 from burdockfront import self_reports
 from burdockfront import timeline
 from burdockfront_client import wire
-from burdockfront_node import backend_beliefs
+from burdockfront_node import backend_self_reports
 from tests import builders
 
 _FIRST = incarnations.Incarnation("i-1", 17)
@@ -18,8 +18,10 @@
 _LEAVING = self_reports.SelfReport(_FIRST, leaving=True)
 
 
-def _new_process() -> backend_beliefs.BackendBeliefs:
-    return backend_beliefs.BackendBeliefs(timeline.Recorder("n1", "dc1", 100))
+def _new_process() -> backend_self_reports.BackendSelfReports:
+    return backend_self_reports.BackendSelfReports(
+        timeline.Recorder("n1", "dc1", 100)
+    )
 
 
 @pytest.mark.parametrize("report", [_LIMITED, _LEAVING])
