--- a/packages/burdockfront-node/src/burdockfront_node/controllers/metrics.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/metrics.py
@@ -74,7 +74,7 @@
         usage = resource.getrusage(resource.RUSAGE_SELF)
         crashes = self._exchange.crash_news.book
         claim = self._exchange.routes()
-        report = self._guard.beliefs.report
+        report = self._guard.self_reports.report
         limit_per_s = report.limit_per_s
         if limit_per_s is None:
             limit_per_s = _NO_LIMIT
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -93,8 +93,8 @@
         self.ledger = ledger
         self._counters = GuardCounters()
         self._dispatcher = dispatcher
-        self.beliefs = backend_self_reports.BackendSelfReports(recorder)
-        self.beliefs.on_leaving = self._server_leaves
+        self.self_reports = backend_self_reports.BackendSelfReports(recorder)
+        self.self_reports.on_leaving = self._server_leaves
         self._runs = backend_runs.BackendRuns(
             handover
             or handover_lib.PlainHandover(
@@ -105,7 +105,7 @@
             lineage,
             policy_of,
             recorder,
-            self.beliefs,
+            self.self_reports,
             self._rules.refusals_lower_slots,
         )
         steps = ticket_runs.Steps(
@@ -170,15 +170,15 @@
     def announce(self, announcement: backend_lib.Announcement) -> None:
         """Takes an announcement of the backend server."""
         before = self.announcement
-        self.beliefs.in_service(announcement.incarnation)
+        self.self_reports.in_service(announcement.incarnation)
         if announcement.notice is not None:
-            self.beliefs.answered(
+            self.self_reports.answered(
                 announcement.notice, announcement.incarnation, time.monotonic()
             )
         self._availability.announce(announcement)
         if self._gate is None:
             self._gate = gate_lib.Gate(
-                announcement, self._policy_of, self.beliefs.rate
+                announcement, self._policy_of, self.self_reports.rate
             )
             self._runs.gate = self._gate
         turned_cold = announcement.state == "cold" and (
@@ -227,7 +227,7 @@
     async def handle(self, attempt: calls.Attempt) -> outcomes.Answer:
         """Serves one attempt, from the network or from this node."""
         if attempt.told is not None:
-            self.beliefs.told(attempt.told)
+            self.self_reports.told(attempt.told)
         if self._lineage is not None:
             attempt = self._lineage.classify(attempt)
         if attempt.ticket is not None:
@@ -364,7 +364,7 @@
             new_work=context.depth == 0,
             in_flight=self.in_flight,
             slots=self.slots,
-            limit_per_s=self.beliefs.report.limit_per_s,
+            limit_per_s=self.self_reports.report.limit_per_s,
             waited_s=round(waited_s, 4),
             remaining_s=round(context.remaining_s, 3),
         )
@@ -380,8 +380,8 @@
         context = attempt.context
         answer.level = self._told_level(context, answer)
         answer.report = None
-        if attempt.told is not None or not self.beliefs.is_plain:
-            answer.report = self.beliefs.report_to(attempt.told)
+        if attempt.told is not None or not self.self_reports.is_plain:
+            answer.report = self.self_reports.report_to(attempt.told)
         answer.load = self.load()
         answer.draining = not self.takes_work or self.announcement is None
         answer.nested_call = context.depth > 0
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -260,7 +260,7 @@
             self._route_watch,
             self._incarnations,
             heartbeats,
-            self._guard.beliefs,
+            self._guard.self_reports,
         )
         exposition = exposition_lib.Exposition(
             self._metrics, self._latencies, self._log, self._accounts.metrics
--- a/tests/unit/test_guard.py
+++ b/tests/unit/test_guard.py
@@ -98,14 +98,16 @@
             announced = _announced(server.address, instance="i-1")
             guard.announce(announced)
             await guard.handle(_an_attempt())
-            assert guard.beliefs.report.limit_per_s == 2.0
+            assert guard.self_reports.report.limit_per_s == 2.0
             refused = await guard.handle(_an_attempt())
             assert refused.reason is outcomes.Reason.LIMITED
             guard.announce(announced)
-            assert guard.beliefs.report.limit_per_s == 2.0, "nothing was said"
+            assert guard.self_reports.report.limit_per_s == 2.0, (
+                "nothing was said"
+            )
             ended = _announced(server.address, instance="i-1", limit_per_s=None)
             guard.announce(ended)
-            assert guard.beliefs.report.limit_per_s is None
+            assert guard.self_reports.report.limit_per_s is None
             await guard.handle(_an_attempt())
             await guard.handle(_an_attempt())
             assert guard.draining, "it said so on an answer"
@@ -120,7 +122,7 @@
 def test_announcement_names_a_limit_before_any_answer():
     guard = _a_ready_guard()
     guard.announce(_announced("127.0.0.1:9", limit_per_s=0.5))
-    assert guard.beliefs.report.limit_per_s == 0.5
+    assert guard.self_reports.report.limit_per_s == 0.5
 
 
 @pytest.mark.parametrize("limit", [-1, "many", float("nan"), float("inf")])
--- a/tests/unit/test_routed_guard.py
+++ b/tests/unit/test_routed_guard.py
@@ -216,7 +216,9 @@
         world = _world(slots=4)
         world.guard.drain()
         notice = self_reports.BackendNotice(leaving=True)
-        world.guard.beliefs.answered(notice, incarnations.UNIDENTIFIED, 0.0)
+        world.guard.self_reports.answered(
+            notice, incarnations.UNIDENTIFIED, 0.0
+        )
         world.guard.resume()
         answer = await world.guard.handle(world.confirmation("late"))
         assert answer.reason is outcomes.Reason.DRAINING
