--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -131,7 +131,7 @@
             return answer
         # Nearly always there is nothing to learn.
         if notice is not self_reports.NO_NOTICE or not self._beliefs.is_plain:
-            self._beliefs.answered(notice, announced.incarnation, started_s)
+            self._beliefs.on_answer(notice, announced.incarnation, started_s)
         return answer
 
     def _note_end(
--- a/packages/burdockfront-node/src/burdockfront_node/backend_self_reports.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_self_reports.py
@@ -45,7 +45,7 @@
             incarnations.Incarnation, self_reports.SelfReport
         ] = collections.OrderedDict()
 
-    def in_service(self, incarnation: incarnations.Incarnation) -> None:
+    def on_in_service(self, incarnation: incarnations.Incarnation) -> None:
         """Notes which start is in service; another one has said nothing yet."""
         if incarnation.may_be(self.report.incarnation):
             if incarnation.born_ms is not None:
@@ -58,9 +58,9 @@
         self.rate.reset()
         self._believe(self_reports.SelfReport(incarnation), "start")
         for report in list(self._told.values()):
-            self.told(report)
+            self.on_relayed_report(report)
 
-    def answered(
+    def on_answer(
         self,
         notice: self_reports.BackendNotice,
         incarnation: incarnations.Incarnation,
@@ -87,7 +87,7 @@
         )
         self._believe(believed, "answer")
 
-    def told(self, report: self_reports.SelfReport) -> None:
+    def on_relayed_report(self, report: self_reports.SelfReport) -> None:
         """Takes what another node remembers, or a question to the server told.
 
         What answers said to this process is newer.
@@ -116,7 +116,7 @@
         known = self._answered or self.rate.per_s is not None
         return report.limit_per_s is not None and not known
 
-    def report_to(
+    def report_for(
         self, told: self_reports.SelfReport | None
     ) -> self_reports.SelfReport | None:
         """Returns what a router should hear with an answer.
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -96,7 +96,7 @@
         if health.notice is not self_reports.NO_NOTICE:
             # That it says nothing here does not show that it names no limit.
             incarnation = incarnations_lib.Incarnation(health.instance_id)
-            self._beliefs.answered(health.notice, incarnation, asked_s)
+            self._beliefs.on_answer(health.notice, incarnation, asked_s)
 
     async def _ask(self, path: str) -> surroundings.Health | None:
         request = connection_lib.encode_request(
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -170,9 +170,9 @@
     def announce(self, announcement: backend_lib.Announcement) -> None:
         """Takes an announcement of the backend server."""
         before = self.announcement
-        self.self_reports.in_service(announcement.incarnation)
+        self.self_reports.on_in_service(announcement.incarnation)
         if announcement.notice is not None:
-            self.self_reports.answered(
+            self.self_reports.on_answer(
                 announcement.notice, announcement.incarnation, time.monotonic()
             )
         self._availability.announce(announcement)
@@ -227,7 +227,7 @@
     async def handle(self, attempt: calls.Attempt) -> outcomes.Answer:
         """Serves one attempt, from the network or from this node."""
         if attempt.told is not None:
-            self.self_reports.told(attempt.told)
+            self.self_reports.on_relayed_report(attempt.told)
         if self._lineage is not None:
             attempt = self._lineage.classify(attempt)
         if attempt.ticket is not None:
@@ -381,7 +381,7 @@
         answer.level = self._told_level(context, answer)
         answer.report = None
         if attempt.told is not None or not self.self_reports.is_plain:
-            answer.report = self.self_reports.report_to(attempt.told)
+            answer.report = self.self_reports.report_for(attempt.told)
         answer.load = self.load()
         answer.draining = not self.takes_work or self.announcement is None
         answer.nested_call = context.depth > 0
--- a/tests/unit/test_routed_guard.py
+++ b/tests/unit/test_routed_guard.py
@@ -216,7 +216,7 @@
         world = _world(slots=4)
         world.guard.drain()
         notice = self_reports.BackendNotice(leaving=True)
-        world.guard.self_reports.answered(
+        world.guard.self_reports.on_answer(
             notice, incarnations.UNIDENTIFIED, 0.0
         )
         world.guard.resume()
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -65,38 +65,38 @@
 
 def test_restarted_guard_applies_the_limit_from_the_first_call():
     beliefs = _new_process()
-    beliefs.told(_LIMITED)
+    beliefs.on_relayed_report(_LIMITED)
     assert beliefs.rate.per_s is None, (
         "the incarnation in service is not known yet"
     )
-    beliefs.in_service(_FIRST)
+    beliefs.on_in_service(_FIRST)
     assert beliefs.rate.per_s == 6.5
     assert not beliefs.rate.take(time.monotonic()), "the bucket starts empty"
 
 
 def test_report_from_a_node_on_an_earlier_incarnation_is_ignored():
     beliefs = _new_process()
-    beliefs.in_service(_NEXT)
-    beliefs.told(_LIMITED)
+    beliefs.on_in_service(_NEXT)
+    beliefs.on_relayed_report(_LIMITED)
     assert beliefs.rate.per_s is None
-    assert beliefs.report_to(_LIMITED) == self_reports.SelfReport(_NEXT)
+    assert beliefs.report_for(_LIMITED) == self_reports.SelfReport(_NEXT)
 
 
 def test_answer_of_the_backend_server_overrides_reports_of_nodes():
     beliefs = _new_process()
-    beliefs.in_service(_FIRST)
-    beliefs.answered(self_reports.NO_NOTICE, _FIRST, 0.0)
-    beliefs.told(_LIMITED)
+    beliefs.on_in_service(_FIRST)
+    beliefs.on_answer(self_reports.NO_NOTICE, _FIRST, 0.0)
+    beliefs.on_relayed_report(_LIMITED)
     assert beliefs.rate.per_s is None
-    assert beliefs.report_to(_LIMITED) == self_reports.SelfReport(_FIRST)
+    assert beliefs.report_for(_LIMITED) == self_reports.SelfReport(_FIRST)
 
 
 def test_limit_from_a_node_ends_with_the_first_answer_without_one():
     beliefs = _new_process()
-    beliefs.in_service(_FIRST)
+    beliefs.on_in_service(_FIRST)
     handed_s = time.monotonic() - 1.0
-    beliefs.told(_LIMITED)
-    beliefs.answered(self_reports.NO_NOTICE, _FIRST, handed_s)
+    beliefs.on_relayed_report(_LIMITED)
+    beliefs.on_answer(self_reports.NO_NOTICE, _FIRST, handed_s)
     assert beliefs.rate.per_s is None
 
 
