--- a/packages/burdockfront-node/src/burdockfront_node/availability.py
+++ b/packages/burdockfront-node/src/burdockfront_node/availability.py
@@ -68,7 +68,7 @@
         return min(self._server_leaves_s, self._node_drains_s) < math.inf
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether routers should send anything here."""
         leaving = self.draining or self.stalls.stalled
         return self._ready.is_set() and not leaving
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -64,7 +64,7 @@
         announced = self._guard.announcement
         service = announced.service if announced else ""
         slots = self._guard.slots
-        draining = not self._guard.takes_work
+        draining = not self._guard.accepts_work
         me = self._exchange.membership.local_member
         if (me.service, me.slots, me.draining) != (service, slots, draining):
             self._exchange.update_local_member(
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -145,9 +145,9 @@
         return self._availability.draining
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether routers should send anything here."""
-        return self._availability.takes_work
+        return self._availability.accepts_work
 
     def counters(self) -> dict[str, int]:
         """Returns what was done since the start."""
@@ -383,7 +383,7 @@
         if attempt.told is not None or not self.self_reports.is_plain:
             answer.report = self.self_reports.report_for(attempt.told)
         answer.load = self.load()
-        answer.draining = not self.takes_work or self.announcement is None
+        answer.draining = not self.accepts_work or self.announcement is None
         answer.nested_call = context.depth > 0
         answer.far_kb = 0.0
         if self._lineage is not None:
@@ -399,7 +399,7 @@
         or leaving server for that of its whole service, and that of a limited
         one, whose slots are idle, for room.
         """
-        if not self.takes_work:
+        if not self.accepts_work:
             return None
         path_level = self._dispatcher.book.path_level(
             context.class_name, time.monotonic()
--- a/tests/unit/test_guard.py
+++ b/tests/unit/test_guard.py
@@ -59,13 +59,13 @@
         guard = _a_guard(ready)
         announced = {"service": "fees", "address": "127.0.0.1:9", "slots": 4}
         guard.announce(backend.parse_announcement(announced))
-        assert not guard.takes_work
+        assert not guard.accepts_work
         answer = await guard.handle(_an_attempt())
         assert answer.outcome is outcomes.Outcome.NOT_RUN
         assert answer.draining, "routers are told to go elsewhere"
         assert guard.counters()["handed_over"] == 0
         ready.set()
-        assert guard.takes_work
+        assert guard.accepts_work
 
     asyncio.run(scenario())
 
