--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -57,7 +57,7 @@
         Args:
             planned: The one before had said that it leaves.
         """
-        self._guard.begin_anew(planned)
+        self._guard.on_restart(planned)
 
     def publish(self) -> None:
         """Updates this node's entry if it says anything else."""
--- a/packages/burdockfront-node/src/burdockfront_node/gate.py
+++ b/packages/burdockfront-node/src/burdockfront_node/gate.py
@@ -96,7 +96,7 @@
         """Takes a further announcement of the same service."""
         self._limit.announce(slots, cold, time.monotonic())
 
-    def begin_anew(self) -> None:
+    def on_restart(self) -> None:
         """Takes the next announcement at its word."""
         self._limit.on_restart()
 
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -186,7 +186,7 @@
         )
         self._gate.announce(announcement.slots, turned_cold)
 
-    def begin_anew(self, planned: bool = False) -> None:
+    def on_restart(self, planned: bool = False) -> None:
         """Forgets what was learned of an earlier start of the server.
 
         Without this a start that has more slots than the one before would
@@ -199,7 +199,7 @@
             self._quarantine.watch.replaced()
         self._availability.stalls.on_restart(time.monotonic())
         if self._gate is not None:
-            self._gate.begin_anew()
+            self._gate.on_restart()
 
     def withdraw(self) -> None:
         """Notes that the backend server has gone silent."""
