--- a/packages/burdockfront-node/src/burdockfront_node/availability.py
+++ b/packages/burdockfront-node/src/burdockfront_node/availability.py
@@ -83,7 +83,7 @@
         elif before is None or _takes_back(announcement, before):
             self._server_leaves_s = math.inf
 
-    def withdraw(self) -> None:
+    def clear_announcement(self) -> None:
         """Notes that the backend server has gone silent."""
         self.announcement = None
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -94,5 +94,5 @@
                     service=announced.service,
                     silent_s=round(silent_s, 2),
                 )
-                self._guard.withdraw()
+                self._guard.clear_announcement()
                 self.publish()
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -201,9 +201,9 @@
         if self._gate is not None:
             self._gate.on_restart()
 
-    def withdraw(self) -> None:
+    def clear_announcement(self) -> None:
         """Notes that the backend server has gone silent."""
-        self._availability.withdraw()
+        self._availability.clear_announcement()
 
     def _server_leaves(self, incarnation: incarnations.Incarnation) -> None:
         """Takes that a start of the server said on an answer that it leaves."""
