--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -193,7 +193,7 @@
         lineage = lineage_lib.Lineage(
             self.dispatcher.book, lambda: len(router.services())
         )
-        self.dispatcher.observer = lineage.call_ended
+        self.dispatcher.observer = lineage.on_call_answer
         ready = asyncio.Event()
         ready.set()
         self.guard = guard_lib.Guard(
--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -82,9 +82,9 @@
             class_name = attempt.context.class_name if served else ""
             gate.leave(service_s, class_name)
             if self._lineage is not None:
-                self._lineage.run_left(attempt)
+                self._lineage.on_run_end(attempt)
         if self._lineage is not None:
-            answer = self._lineage.run_ended(attempt, started_s, answer)
+            answer = self._lineage.on_run_answer(attempt, started_s, answer)
         if answer.reason is outcomes.Reason.LOST_ANSWER:
             await self._quarantine.watch.lost(attempt)
         record(
@@ -112,7 +112,7 @@
         address = announced.address if announced else ""
         self._quarantine.watch.began(attempt, address, started_s)
         if self._lineage is not None:
-            self._lineage.run_began(attempt)
+            self._lineage.on_run_start(attempt)
 
     async def _to_backend(
         self, attempt: calls.Attempt, nonce: str | None, started_s: float
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -387,7 +387,7 @@
         answer.nested_call = context.depth > 0
         answer.far_kb = 0.0
         if self._lineage is not None:
-            answer.far_kb = self._lineage.detours_of(context.class_name)
+            answer.far_kb = self._lineage.transfer_cost_of(context.class_name)
         return answer
 
     def _told_level(
--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -71,21 +71,21 @@
         """Returns the request that a call is made for, if its id tells."""
         return self._running.parent_of(request_id)
 
-    def detours_of(self, class_name: str) -> float:
+    def transfer_cost_of(self, class_name: str) -> float:
         """Returns the kilobytes that requests of a class cost below."""
         return self._detours.kb_per_request(class_name)
 
-    def run_began(self, attempt: calls.Attempt) -> None:
+    def on_run_start(self, attempt: calls.Attempt) -> None:
         """Notes that a request is handed to the backend server."""
         self._running.add(attempt.context)
         self._detours.record_start(attempt.context.class_name, time.monotonic())
 
-    def run_left(self, attempt: calls.Attempt) -> None:
+    def on_run_end(self, attempt: calls.Attempt) -> None:
         """Notes that nobody waits for a request at the backend server."""
         self._running.remove(attempt.context)
         self._detours.record_end(attempt.context.class_name, time.monotonic())
 
-    def run_ended(
+    def on_run_answer(
         self, attempt: calls.Attempt, started_s: float, answer: outcomes.Answer
     ) -> outcomes.Answer:
         """Learns from the end of a request at the backend server."""
@@ -102,11 +102,11 @@
             )
         return dataclasses.replace(answer, starved=True) if starved else answer
 
-    def call_ended(self, call: calls.Call, answer: outcomes.Answer) -> None:
+    def on_call_answer(self, call: calls.Call, answer: outcomes.Answer) -> None:
         """Learns from the final answer to a call that was sent from here."""
         class_name = call.context.class_name
         if call.parent_class:
-            self._linked_call_ended(call, answer)
+            self._on_linked_call_answer(call, answer)
             return
         if answer.nested_call:
             self._new_work.discard(class_name)
@@ -120,7 +120,7 @@
             child = starvation.Child(call.service, class_name)
             self._starvation.record_refusal(child, time.monotonic())
 
-    def _linked_call_ended(
+    def _on_linked_call_answer(
         self, call: calls.Call, answer: outcomes.Answer
     ) -> None:
         """Learns from a call whose request is known."""
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -194,7 +194,7 @@
         self._lineage = lineage_lib.Lineage(
             self._dispatcher.book, lambda: len(router.services())
         )
-        self._dispatcher.observer = self._lineage.call_ended
+        self._dispatcher.observer = self._lineage.on_call_answer
         return self._lineage
 
     def _guard_rules(self) -> availability.GuardRules:
--- a/tests/unit/test_starvation.py
+++ b/tests/unit/test_starvation.py
@@ -66,9 +66,9 @@
     refusal = outcomes.not_run(outcomes.Reason.OVERLOAD, 1.0)
     for _ in range(20):
         started_s = calls.time.monotonic()
-        lineage.call_ended(_a_call("fees", "fee-rule"), refusal)
+        lineage.on_call_answer(_a_call("fees", "fee-rule"), refusal)
         failed = outcomes.Answer(outcomes.Outcome.DONE, 500)
-        ended = lineage.run_ended(_an_attempt("roster"), started_s, failed)
+        ended = lineage.on_run_answer(_an_attempt("roster"), started_s, failed)
         assert ended.starved
     now_s = calls.time.monotonic()
     tracker.observe("fees", "fee-rule", 300, now_s)
