--- a/packages/burdockfront-node/src/burdockfront_node/backend_probe.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_probe.py
@@ -7,7 +7,7 @@
 _LONGEST_S = 0.05
 
 
-async def is_gone(address: str) -> bool:
+async def is_port_closed(address: str) -> bool:
     """Whether nobody listens at an address any more.
 
     A server that resets a connection or breaks off an answer still listens. One
--- a/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
+++ b/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
@@ -31,7 +31,7 @@
 _MOST_GIVEN_UP = 256
 
 
-IsGone = Callable[[str], Awaitable[bool]]
+IsPortClosed = Callable[[str], Awaitable[bool]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -82,18 +82,18 @@
         boot_id: Names this process, and with a number each crash.
         on_crash: Called for each crash, and again when more of its suspects
             become known; then with all of them.
-        is_gone: Tells whether nobody listens at an address.
+        is_port_closed: Tells whether nobody listens at an address.
     """
 
     def __init__(
         self,
         boot_id: str,
         on_crash: Callable[[Crash], None],
-        is_gone: IsGone = backend_probe.is_gone,
+        is_port_closed: IsPortClosed = backend_probe.is_port_closed,
     ):
         self._boot_id = boot_id
         self._on_crash = on_crash
-        self._is_gone = is_gone
+        self._is_port_closed = is_port_closed
         self._running: dict[str, _Run] = {}
         self._lost: list[AtWork] = []
         self._given_up: collections.deque[_GivenUp] = collections.deque(
@@ -167,7 +167,7 @@
 
     async def _find_out(self, address: str) -> bool:
         """Asks once for all answers that are lost in one moment."""
-        gone = await self._is_gone(address)
+        gone = await self._is_port_closed(address)
         self._probe = None
         lost, self._lost = self._lost, []
         if not gone:
--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -32,7 +32,7 @@
         book: The crashes that count.
         tell: Takes an entry into the book, and tells other nodes.
         recorder: Where events go.
-        is_gone: Tells whether nobody listens at an address.
+        is_port_closed: Tells whether nobody listens at an address.
     """
 
     def __init__(
@@ -41,14 +41,14 @@
         book: crashes.CrashTracker,
         tell: Callable[[tables.Entry], None],
         recorder: timeline.Recorder,
-        is_gone: crash_detector_lib.IsGone = backend_probe.is_gone,
+        is_port_closed: crash_detector_lib.IsPortClosed = backend_probe.is_port_closed,
     ):
         self._book = book
         self._tell = tell
         self._recorder = recorder
         self._turns = _Turns()
         self.watch = crash_detector_lib.CrashDetector(
-            boot_id, self._crashed, is_gone
+            boot_id, self._crashed, is_port_closed
         )
 
     def refusal_of(self, call: calls.Call) -> outcomes.Answer | None:
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -73,7 +73,11 @@
         self.book = crashes.CrashTracker()
         recorder = timeline.Recorder(f"n{number}", "dc1", 10)
         self.quarantine = quarantine_lib.Quarantine(
-            f"boot-{number}", self.book, self._tell, recorder, self._is_gone
+            f"boot-{number}",
+            self.book,
+            self._tell,
+            recorder,
+            self._is_port_closed,
         )
         self.crashes = 0
         self._world = world
@@ -124,7 +128,7 @@
     def _come_back(self) -> None:
         self._up = True
 
-    async def _is_gone(self, address: str) -> bool:
+    async def _is_port_closed(self, address: str) -> bool:
         return not self._up
 
     def _tell(self, entry: tables.Entry) -> None:
--- a/tests/unit/test_crash_detector.py
+++ b/tests/unit/test_crash_detector.py
@@ -22,10 +22,10 @@
         self.asked = 0
         self.told: list[crash_detector_lib.Crash] = []
         self.watch = crash_detector_lib.CrashDetector(
-            "boot", self.told.append, self._is_gone
+            "boot", self.told.append, self._is_port_closed
         )
 
-    async def _is_gone(self, address: str) -> bool:
+    async def _is_port_closed(self, address: str) -> bool:
         self.asked += 1
         await asyncio.sleep(0)
         return self.gone
