--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -86,7 +86,7 @@
         if self._lineage is not None:
             answer = self._lineage.on_run_answer(attempt, started_s, answer)
         if answer.reason is outcomes.Reason.LOST_ANSWER:
-            await self._quarantine.watch.lost(attempt)
+            await self._quarantine.crash_detector.lost(attempt)
         record(
             self._recorder,
             "call.answered",
@@ -110,7 +110,7 @@
         self._availability.stalls.on_sent(started_s)
         announced = self._availability.announcement
         address = announced.address if announced else ""
-        self._quarantine.watch.began(attempt, address, started_s)
+        self._quarantine.crash_detector.began(attempt, address, started_s)
         if self._lineage is not None:
             self._lineage.on_run_start(attempt)
 
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -86,7 +86,7 @@
         self.on_server_leaving: Callable[[incarnations.Incarnation], None]
         self.on_server_leaving = _ignore
         self._lineage = lineage
-        self._quarantine = quarantine or quarantine_lib.alone(recorder)
+        self._quarantine = quarantine or quarantine_lib.standalone(recorder)
         self._rules = rules or availability_lib.GuardRules()
         self._availability = availability_lib.Availability(ready, self._rules)
         self.node_id = node_id
@@ -154,7 +154,7 @@
         return {
             "handed_over": self._runs.handed_over,
             **dataclasses.asdict(self._counters),
-            "backend_crashes": self._quarantine.watch.crashes,
+            "backend_crashes": self._quarantine.crash_detector.crashes,
             "replayed": self.tickets.replayed,
             "cancelled": self._gate.cancelled if self._gate else 0,
         }
@@ -196,7 +196,7 @@
             planned: The earlier start had said that it leaves.
         """
         if not planned:
-            self._quarantine.watch.replaced()
+            self._quarantine.crash_detector.replaced()
         self._availability.stalls.on_restart(time.monotonic())
         if self._gate is not None:
             self._gate.on_restart()
--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -47,7 +47,7 @@
         self._tell = tell
         self._recorder = recorder
         self._turns = _Turns()
-        self.watch = crash_detector_lib.CrashDetector(
+        self.crash_detector = crash_detector_lib.CrashDetector(
             boot_id, self._crashed, is_port_closed
         )
 
@@ -95,7 +95,7 @@
             answer: What is known of it; None if its caller left.
         """
         self.leave(attempt)
-        self.watch.ended(attempt, answer)
+        self.crash_detector.ended(attempt, answer)
         if answer is not None and answer.outcome is outcomes.Outcome.DONE:
             self._acquit(attempt)
 
@@ -173,7 +173,7 @@
             self._free.release()
 
 
-def alone(recorder: timeline.Recorder) -> Quarantine:
+def standalone(recorder: timeline.Recorder) -> Quarantine:
     """Returns the quarantine of a node that has no others to tell."""
     book = crashes.CrashTracker()
 
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -90,11 +90,11 @@
         refusal = await self.quarantine.enter(attempt)
         if refusal is not None:
             return refusal
-        self.quarantine.watch.began(attempt, "", time.monotonic())
+        self.quarantine.crash_detector.began(attempt, "", time.monotonic())
         answer = await self._run(attempt)
         self.quarantine.ended(attempt, answer)
         if answer is _LOST:
-            await self.quarantine.watch.lost(attempt)
+            await self.quarantine.crash_detector.lost(attempt)
         return answer
 
     async def _run(self, attempt: calls.Attempt) -> outcomes.Answer:
--- a/tests/unit/test_crash_detector.py
+++ b/tests/unit/test_crash_detector.py
@@ -21,7 +21,7 @@
         self.gone = True
         self.asked = 0
         self.told: list[crash_detector_lib.Crash] = []
-        self.watch = crash_detector_lib.CrashDetector(
+        self.crash_detector = crash_detector_lib.CrashDetector(
             "boot", self.told.append, self._is_port_closed
         )
 
@@ -33,13 +33,15 @@
     def begin(self, request_id: str) -> calls.Attempt:
         attempt = builders.an_attempt(request_id)
         loop = asyncio.get_running_loop()
-        self.watch.began(attempt, "127.0.0.1:9", loop.time())
+        self.crash_detector.began(attempt, "127.0.0.1:9", loop.time())
         return attempt
 
     async def lose(self, *attempts: calls.Attempt) -> None:
         for attempt in attempts:
-            self.watch.ended(attempt, _LOST)
-        await asyncio.gather(*[self.watch.lost(one) for one in attempts])
+            self.crash_detector.ended(attempt, _LOST)
+        await asyncio.gather(
+            *[self.crash_detector.lost(one) for one in attempts]
+        )
 
     def suspects(self) -> list[set[str]]:
         """Returns the requests of each crash, as told last."""
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.recorder = timeline.Recorder("n1", "dc1", 100)
-        self.quarantine = quarantine_lib.alone(self.recorder)
+        self.quarantine = quarantine_lib.standalone(self.recorder)
         self.crashes = 0
 
     def crash(self, *attempts: calls.Attempt) -> None:
