--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -77,7 +77,7 @@
         finally:
             service_s = time.monotonic() - started_s
             self._note_end(gate, answer, service_s)
-            self._quarantine.ended(attempt, answer)
+            self._quarantine.on_end(attempt, answer)
             served = answer is not None and answer.reason is None
             class_name = attempt.context.class_name if served else ""
             gate.leave(service_s, class_name)
@@ -86,7 +86,7 @@
         if self._lineage is not None:
             answer = self._lineage.on_run_answer(attempt, started_s, answer)
         if answer.reason is outcomes.Reason.LOST_ANSWER:
-            await self._quarantine.crash_detector.lost(attempt)
+            await self._quarantine.crash_detector.on_lost_answer(attempt)
         record(
             self._recorder,
             "call.answered",
@@ -110,7 +110,7 @@
         self._availability.stalls.on_sent(started_s)
         announced = self._availability.announcement
         address = announced.address if announced else ""
-        self._quarantine.crash_detector.began(attempt, address, started_s)
+        self._quarantine.crash_detector.on_start(attempt, address, started_s)
         if self._lineage is not None:
             self._lineage.on_run_start(attempt)
 
--- a/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
+++ b/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
@@ -107,7 +107,9 @@
         self._crashed_wall_s = 0.0
         self.crashes = 0
 
-    def began(self, attempt: calls.Attempt, address: str, now_s: float) -> None:
+    def on_start(
+        self, attempt: calls.Attempt, address: str, now_s: float
+    ) -> None:
         """Notes that an attempt is handed over.
 
         Args:
@@ -118,7 +120,7 @@
         run = _Run(attempt, address, now_s)
         self._running[attempt.context.attempt_id] = run
 
-    def ended(
+    def on_end(
         self, attempt: calls.Attempt, answer: outcomes.Answer | None
     ) -> None:
         """Notes the end of a run; one whose answer was lost goes to `lost`.
@@ -135,7 +137,7 @@
         elif answer.reason in (None, outcomes.Reason.REJECTED):
             self._answered_at_s = time.monotonic()
 
-    async def lost(self, attempt: calls.Attempt) -> bool:
+    async def on_lost_answer(self, attempt: calls.Attempt) -> bool:
         """Notes a lost answer, and finds out whether the server crashed.
 
         Returns:
@@ -151,7 +153,7 @@
             self._probe = asyncio.create_task(self._find_out(run.address))
         return await asyncio.shield(self._probe)
 
-    def replaced(self) -> None:
+    def on_replaced(self) -> None:
         """Notes another incarnation, though the one before did not leave.
 
         A server that falls silent as it crashes answers neither requests nor
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -196,7 +196,7 @@
             planned: The earlier start had said that it leaves.
         """
         if not planned:
-            self._quarantine.crash_detector.replaced()
+            self._quarantine.crash_detector.on_replaced()
         self._availability.stalls.on_restart(time.monotonic())
         if self._gate is not None:
             self._gate.on_restart()
--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -85,7 +85,7 @@
         """Lets the next suspect run; may be called more than once."""
         self._turns.give(attempt.context.attempt_id)
 
-    def ended(
+    def on_end(
         self, attempt: calls.Attempt, answer: outcomes.Answer | None
     ) -> None:
         """Notes the end of a run; an answer acquits the request.
@@ -95,7 +95,7 @@
             answer: What is known of it; None if its caller left.
         """
         self.leave(attempt)
-        self.crash_detector.ended(attempt, answer)
+        self.crash_detector.on_end(attempt, answer)
         if answer is not None and answer.outcome is outcomes.Outcome.DONE:
             self._acquit(attempt)
 
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -90,11 +90,11 @@
         refusal = await self.quarantine.enter(attempt)
         if refusal is not None:
             return refusal
-        self.quarantine.crash_detector.began(attempt, "", time.monotonic())
+        self.quarantine.crash_detector.on_start(attempt, "", time.monotonic())
         answer = await self._run(attempt)
-        self.quarantine.ended(attempt, answer)
+        self.quarantine.on_end(attempt, answer)
         if answer is _LOST:
-            await self.quarantine.crash_detector.lost(attempt)
+            await self.quarantine.crash_detector.on_lost_answer(attempt)
         return answer
 
     async def _run(self, attempt: calls.Attempt) -> outcomes.Answer:
--- a/tests/unit/test_crash_detector.py
+++ b/tests/unit/test_crash_detector.py
@@ -33,14 +33,14 @@
     def begin(self, request_id: str) -> calls.Attempt:
         attempt = builders.an_attempt(request_id)
         loop = asyncio.get_running_loop()
-        self.crash_detector.began(attempt, "127.0.0.1:9", loop.time())
+        self.crash_detector.on_start(attempt, "127.0.0.1:9", loop.time())
         return attempt
 
     async def lose(self, *attempts: calls.Attempt) -> None:
         for attempt in attempts:
-            self.crash_detector.ended(attempt, _LOST)
+            self.crash_detector.on_end(attempt, _LOST)
         await asyncio.gather(
-            *[self.crash_detector.lost(one) for one in attempts]
+            *[self.crash_detector.on_lost_answer(one) for one in attempts]
         )
 
     def suspects(self) -> list[set[str]]:
@@ -56,7 +56,7 @@
     async def scenario() -> None:
         world = _World()
         answered = world.begin("answered")
-        world.watch.ended(answered, builders.an_answer())
+        world.crash_detector.on_end(answered, builders.an_answer())
         await world.lose(*[world.begin(f"r-{n}") for n in range(3)])
         assert world.suspects() == [{"r-0", "r-1", "r-2"}]
         assert world.asked == 1, "one question for all of one moment"
@@ -72,7 +72,7 @@
         await world.lose(first)
         await world.lose(second)
         await asyncio.sleep(2 * crash_detector_lib._GATHER_S)
-        assert world.watch.crashes == 1
+        assert world.crash_detector.crashes == 1
         assert world.suspects() == [{"first", "second"}]
 
     asyncio.run(scenario())
@@ -103,7 +103,7 @@
     # A server works on for a moment after the connection was closed.
     async def scenario() -> None:
         world = _World()
-        world.watch.ended(world.begin("left"), None)
+        world.crash_detector.on_end(world.begin("left"), None)
         await world.lose(world.begin("stayed"))
         assert world.suspects() == [{"left", "stayed"}]
 
@@ -117,8 +117,10 @@
         world = _World()
         late = world.begin("late")
         world.begin("waiting")
-        world.watch.ended(late, outcomes.unknown(outcomes.Reason.DEADLINE))
-        world.watch.replaced()
+        world.crash_detector.on_end(
+            late, outcomes.unknown(outcomes.Reason.DEADLINE)
+        )
+        world.crash_detector.on_replaced()
         assert world.suspects() == [{"late", "waiting"}]
 
     asyncio.run(scenario())
@@ -129,11 +131,11 @@
         world = _World()
         await world.lose(world.begin("r-1"))
         refused = world.begin("refused")
-        world.watch.ended(
+        world.crash_detector.on_end(
             refused, outcomes.not_run(outcomes.Reason.UNREACHABLE)
         )
         world.begin("at the next one")
-        world.watch.replaced()
+        world.crash_detector.on_replaced()
         assert world.suspects() == [{"r-1"}]
 
     asyncio.run(scenario())
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -34,7 +34,7 @@
         self.quarantine._tell(entry)
 
     def answer(self, attempt: calls.Attempt) -> None:
-        self.quarantine.ended(attempt, builders.an_answer())
+        self.quarantine.on_end(attempt, builders.an_answer())
 
 
 def _wall_s() -> float:
