--- a/packages/burdockfront-node/src/burdockfront_node/backend.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend.py
@@ -19,7 +19,7 @@
 from burdockfront import policy
 from burdockfront import self_reports
 
-SILENT_AFTER_S = 3.0
+ANNOUNCEMENT_TIMEOUT_S = 3.0
 
 
 class _AnnouncementModel(pydantic.BaseModel):
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -27,7 +27,7 @@
         guard: guard_lib.Guard,
         exchange: exchange_lib.Exchange,
         recorder: timeline.Recorder,
-        silent_after_s: float = backend_lib.SILENT_AFTER_S,
+        silent_after_s: float = backend_lib.ANNOUNCEMENT_TIMEOUT_S,
         check_s: float = _CHECK_S,
     ):
         self._silent_after_s = silent_after_s
