--- a/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
+++ b/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AtWork:
+class InFlightRequest:
     """A request that was at a backend server when it crashed.
 
     Attributes:
@@ -59,7 +59,7 @@
 
     crash_id: str
     at_s: float
-    at_work: tuple[AtWork, ...]
+    in_flight: tuple[InFlightRequest, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _GivenUp:
-    at_work: AtWork
+    at_work: InFlightRequest
     at_s: float
 
 
@@ -95,14 +95,14 @@
         self._on_crash = on_crash
         self._is_port_closed = is_port_closed
         self._running: dict[str, _Run] = {}
-        self._lost: list[AtWork] = []
+        self._lost: list[InFlightRequest] = []
         self._given_up: collections.deque[_GivenUp] = collections.deque(
             maxlen=_MOST_GIVEN_UP
         )
         self._probe: asyncio.Task[bool] | None = None
         self._answered_at_s = 0.0
         self._crashed_at_s = 0.0
-        self._at_work: dict[AtWork, None] = {}
+        self._at_work: dict[InFlightRequest, None] = {}
         self._told = 0
         self._crashed_wall_s = 0.0
         self.crashes = 0
@@ -133,7 +133,7 @@
             return
         self._running.pop(attempt.context.attempt_id, None)
         if answer is None or answer.outcome is outcomes.Outcome.UNKNOWN:
-            self._give_up(_at_work_of(attempt))
+            self._give_up(_in_flight_request_of(attempt))
         elif answer.reason in (None, outcomes.Reason.REJECTED):
             self._answered_at_s = time.monotonic()
 
@@ -144,7 +144,7 @@
             Whether it crashed.
         """
         run = self._running.pop(attempt.context.attempt_id)
-        at_work = _at_work_of(attempt)
+        at_work = _in_flight_request_of(attempt)
         if run.started_s < self._crashed_at_s:
             self._accuse_later(at_work)
             return True
@@ -162,7 +162,9 @@
         if self._crashed_at_s > self._answered_at_s:
             # Seen already; what runs now was handed to the new incarnation.
             return
-        pending = [_at_work_of(run.attempt) for run in self._running.values()]
+        pending = [
+            _in_flight_request_of(run.attempt) for run in self._running.values()
+        ]
         at_work = pending + self._given_up_since(self._answered_at_s)
         if at_work:
             self._begin_crash(at_work)
@@ -181,7 +183,7 @@
         self._begin_crash(lost + self._given_up_since(since_s))
         return True
 
-    def _begin_crash(self, at_work: list[AtWork]) -> None:
+    def _begin_crash(self, at_work: list[InFlightRequest]) -> None:
         self.crashes += 1
         self._crashed_at_s = time.monotonic()
         self._crashed_wall_s = time.time()
@@ -190,7 +192,7 @@
         self._told = 0
         self._tell()
 
-    def _accuse_later(self, at_work: AtWork) -> None:
+    def _accuse_later(self, at_work: InFlightRequest) -> None:
         first = len(self._at_work) == self._told
         self._at_work[at_work] = None
         if first:
@@ -205,10 +207,10 @@
         found = tuple(self._at_work)
         self._on_crash(Crash(crash_id, self._crashed_wall_s, found))
 
-    def _give_up(self, at_work: AtWork) -> None:
+    def _give_up(self, at_work: InFlightRequest) -> None:
         self._given_up.append(_GivenUp(at_work, time.monotonic()))
 
-    def _given_up_since(self, since_s: float) -> list[AtWork]:
+    def _given_up_since(self, since_s: float) -> list[InFlightRequest]:
         return [g.at_work for g in self._given_up if g.at_s >= since_s]
 
 
@@ -220,5 +222,5 @@
     return crashes.Suspect(fingerprint, call.origin_service, call.account)
 
 
-def _at_work_of(attempt: calls.Attempt) -> AtWork:
-    return AtWork(attempt.context.request_id, suspect_of(attempt.call))
+def _in_flight_request_of(attempt: calls.Attempt) -> InFlightRequest:
+    return InFlightRequest(attempt.context.request_id, suspect_of(attempt.call))
--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -132,14 +132,14 @@
 
     def _crashed(self, crash: crash_detector_lib.Crash) -> None:
         """Tells of a crash of the backend server beside this node."""
-        suspects = [at_work.suspect for at_work in crash.at_work]
+        suspects = [one.suspect for one in crash.in_flight]
         self._recorder.record(
             time.time(),
             "backend.crashed",
             crash=crash.crash_id,
             suspects=[
-                f"{at_work.request_id} {at_work.suspect.fingerprint}"
-                for at_work in crash.at_work
+                f"{one.request_id} {one.suspect.fingerprint}"
+                for one in crash.in_flight
             ],
         )
         self._tell(crashes.crash_entry(crash.crash_id, suspects, crash.at_s))
--- a/tests/unit/test_crash_detector.py
+++ b/tests/unit/test_crash_detector.py
@@ -47,7 +47,7 @@
         """Returns the requests of each crash, as told last."""
         by_crash = {crash.crash_id: crash for crash in self.told}
         return [
-            {at_work.request_id for at_work in crash.at_work}
+            {one.request_id for one in crash.in_flight}
             for crash in by_crash.values()
         ]
 
