--- a/packages/burdockfront-node/src/burdockfront_node/backend_probe.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_probe.py
@@ -1,17 +1,18 @@
-"""Asks whether the process of a backend server is still there."""
+"""Checks whether a backend server's port is still open."""
 
 import asyncio
 
-# On the same VM a connection is made or refused in far less than a
-# millisecond. Whoever waits for the result holds a failed request.
-_LONGEST_S = 0.05
+# On the same VM a connection is accepted or refused in far less than a
+# millisecond. A failed request waits for the result of the check.
+_TIMEOUT_S = 0.05
 
 
 async def is_port_closed(address: str) -> bool:
-    """Whether nobody listens at an address any more.
+    """Whether connections to an address are refused.
 
-    A server that resets a connection or breaks off an answer still listens. One
-    that does not answer at all may be frozen or busy: not known to be gone.
+    A server that resets a connection or aborts an answer still listens. One
+    that does not answer at all may be frozen or busy, and does not count as
+    gone.
 
     Args:
         address: `ip:port`.
@@ -19,14 +20,14 @@
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout(_LONGEST_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             transport, _ = await loop.create_connection(
                 asyncio.Protocol, host.strip("[]"), int(port)
             )
     except ConnectionRefusedError:
         return True
     except (OSError, TimeoutError):
-        # Whatever else went wrong does not show that it is gone.
+        # No other error shows that the process is gone.
         return False
     transport.abort()
     return False
--- a/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
+++ b/packages/burdockfront-node/src/burdockfront_node/crash_detector.py
@@ -1,12 +1,13 @@
-"""Notices that the backend server beside a node crashed, and under what.
+"""Detects crashes of the backend server beside a node, and their suspects.
 
-All requests that a server works on lose their answers in the moment in which it
-crashes. One of them may be the cause, and nobody can tell which from this crash
-alone; so all of them are told of as suspects, by their content.
+All requests that are in flight at a server lose their answers at the moment it
+crashes. Any of them may be the cause, and a single crash does not show which;
+so all of them are reported as suspects, identified by their content.
 
-A lost answer by itself is no crash: servers break off answers and reset
-connections. It is one if nobody listens at the server's address afterwards, or
-if another incarnation announces itself without the one before having left.
+A lost answer alone does not show a crash: servers also abort answers and reset
+connections. It counts as a crash if the server's port is closed afterwards, or
+if another incarnation announces itself although the previous one did not
+announce that it leaves.
 """
 
 import asyncio
@@ -22,13 +23,14 @@
 from burdockfront_client import calls
 from burdockfront_node import backend_probe
 
-# A server may still work on a request that its caller gave up.
-_STILL_AT_WORK_S = 1.0
-# The answers of one crash are lost within milliseconds of each other. What
-# comes behind the first ones is told of together.
+# A server may still be processing a request that its caller abandoned.
+_STILL_RUNNING_S = 1.0
+# The answers of one crash are lost within milliseconds of each other. Suspects
+# that follow the first ones are collected for this time and reported together.
 _GATHER_S = 0.001
-# More than any server has slots, given up in the last second.
-_MOST_GIVEN_UP = 256
+# More than the number of slots of any server: requests abandoned within the
+# last second.
+_MAX_ABANDONED = 256
 
 
 IsPortClosed = Callable[[str], Awaitable[bool]]
@@ -36,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InFlightRequest:
-    """A request that was at a backend server when it crashed.
+    """A request that was in flight at a backend server when it crashed.
 
     Attributes:
         request_id: Its id, for logs; a repeat has another one.
-        suspect: What it asks for.
+        suspect: Its content and source.
     """
 
     request_id: str
@@ -52,9 +54,9 @@
     """A crash of the backend server beside this node.
 
     Attributes:
-        crash_id: Names it among the crashes of all nodes.
-        at_s: Wall clock.
-        at_work: What was at the server.
+        crash_id: Unique among the crashes that all nodes report.
+        at_s: Wall clock time.
+        in_flight: The requests that were in flight at the server.
     """
 
     crash_id: str
@@ -70,19 +72,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _GivenUp:
-    at_work: InFlightRequest
+class _Abandoned:
+    request: InFlightRequest
     at_s: float
 
 
 class CrashDetector:
-    """Watches the runs at one backend server.
+    """Tracks the requests at one backend server and detects its crashes.
 
     Args:
-        boot_id: Names this process, and with a number each crash.
-        on_crash: Called for each crash, and again when more of its suspects
-            become known; then with all of them.
-        is_port_closed: Tells whether nobody listens at an address.
+        boot_id: Id of this process; crash ids consist of it and a number.
+        on_crash: Called for each crash, and again with all of its suspects
+            when more of them become known.
+        is_port_closed: Returns whether no process listens at an address.
+
+    Attributes:
+        crashes: Number of crashes detected.
     """
 
     def __init__(
@@ -96,25 +101,26 @@
         self._is_port_closed = is_port_closed
         self._running: dict[str, _Run] = {}
         self._lost: list[InFlightRequest] = []
-        self._given_up: collections.deque[_GivenUp] = collections.deque(
-            maxlen=_MOST_GIVEN_UP
+        self._abandoned: collections.deque[_Abandoned] = collections.deque(
+            maxlen=_MAX_ABANDONED
         )
         self._probe: asyncio.Task[bool] | None = None
         self._answered_at_s = 0.0
         self._crashed_at_s = 0.0
-        self._at_work: dict[InFlightRequest, None] = {}
-        self._told = 0
+        # Suspects of the latest crash, and how many of them were reported.
+        self._suspects: dict[InFlightRequest, None] = {}
+        self._reported = 0
         self._crashed_wall_s = 0.0
         self.crashes = 0
 
     def on_start(
         self, attempt: calls.Attempt, address: str, now_s: float
     ) -> None:
-        """Notes that an attempt is handed over.
+        """Records that an attempt is handed over.
 
         Args:
             attempt: The attempt.
-            address: Of the backend server.
+            address: Address of the backend server.
             now_s: The current time.
         """
         run = _Run(attempt, address, now_s)
@@ -123,99 +129,103 @@
     def on_end(
         self, attempt: calls.Attempt, answer: outcomes.Answer | None
     ) -> None:
-        """Notes the end of a run; one whose answer was lost goes to `lost`.
+        """Records the end of a run.
+
+        If the answer was lost, `on_lost_answer` has to be called as well.
 
         Args:
-            attempt: What was handed over.
-            answer: What is known of it; None if its caller left.
+            attempt: The attempt that was handed over.
+            answer: Its answer; None if the caller left.
         """
         if answer is not None and answer.reason is outcomes.Reason.LOST_ANSWER:
             return
         self._running.pop(attempt.context.attempt_id, None)
         if answer is None or answer.outcome is outcomes.Outcome.UNKNOWN:
-            self._give_up(_in_flight_request_of(attempt))
+            self._record_abandoned(_in_flight_request_of(attempt))
         elif answer.reason in (None, outcomes.Reason.REJECTED):
             self._answered_at_s = time.monotonic()
 
     async def on_lost_answer(self, attempt: calls.Attempt) -> bool:
-        """Notes a lost answer, and finds out whether the server crashed.
+        """Records a lost answer and checks whether the server crashed.
 
         Returns:
-            Whether it crashed.
+            Whether the server crashed.
         """
         run = self._running.pop(attempt.context.attempt_id)
-        at_work = _in_flight_request_of(attempt)
+        request = _in_flight_request_of(attempt)
         if run.started_s < self._crashed_at_s:
-            self._accuse_later(at_work)
+            self._add_suspect(request)
             return True
-        self._lost.append(at_work)
+        self._lost.append(request)
         if self._probe is None:
-            self._probe = asyncio.create_task(self._find_out(run.address))
+            self._probe = asyncio.create_task(self._check(run.address))
         return await asyncio.shield(self._probe)
 
     def on_replaced(self) -> None:
-        """Notes another incarnation, though the one before did not leave.
+        """Records a new incarnation whose predecessor announced no leave.
 
-        A server that falls silent as it crashes answers neither requests nor
-        connections; without this it would crash unseen.
+        A server that hangs while it crashes answers neither requests nor
+        connection attempts; without this check its crash would go unnoticed.
         """
         if self._crashed_at_s > self._answered_at_s:
-            # Seen already; what runs now was handed to the new incarnation.
+            # The crash was detected already; running requests were handed to
+            # the new incarnation.
             return
         pending = [
             _in_flight_request_of(run.attempt) for run in self._running.values()
         ]
-        at_work = pending + self._given_up_since(self._answered_at_s)
-        if at_work:
-            self._begin_crash(at_work)
+        requests = pending + self._abandoned_since(self._answered_at_s)
+        if requests:
+            self._record_crash(requests)
 
-    async def _find_out(self, address: str) -> bool:
-        """Asks once for all answers that are lost in one moment."""
-        gone = await self._is_port_closed(address)
+    async def _check(self, address: str) -> bool:
+        """Probes the server once for all answers lost at the same moment."""
+        closed = await self._is_port_closed(address)
         self._probe = None
         lost, self._lost = self._lost, []
-        if not gone:
-            for at_work in lost:
-                self._give_up(at_work)
+        if not closed:
+            for request in lost:
+                self._record_abandoned(request)
             return False
-        still_at_work_s = time.monotonic() - _STILL_AT_WORK_S
-        since_s = min(self._answered_at_s, still_at_work_s)
-        self._begin_crash(lost + self._given_up_since(since_s))
+        still_running_s = time.monotonic() - _STILL_RUNNING_S
+        since_s = min(self._answered_at_s, still_running_s)
+        self._record_crash(lost + self._abandoned_since(since_s))
         return True
 
-    def _begin_crash(self, at_work: list[InFlightRequest]) -> None:
+    def _record_crash(self, requests: list[InFlightRequest]) -> None:
         self.crashes += 1
         self._crashed_at_s = time.monotonic()
         self._crashed_wall_s = time.time()
-        self._given_up.clear()
-        self._at_work = dict.fromkeys(at_work)
-        self._told = 0
-        self._tell()
-
-    def _accuse_later(self, at_work: InFlightRequest) -> None:
-        first = len(self._at_work) == self._told
-        self._at_work[at_work] = None
+        self._abandoned.clear()
+        self._suspects = dict.fromkeys(requests)
+        self._reported = 0
+        self._report()
+
+    def _add_suspect(self, request: InFlightRequest) -> None:
+        """Adds a suspect to the latest crash and schedules its report."""
+        first = len(self._suspects) == self._reported
+        self._suspects[request] = None
         if first:
             loop = asyncio.get_running_loop()
-            loop.call_later(_GATHER_S, self._tell)
+            loop.call_later(_GATHER_S, self._report)
 
-    def _tell(self) -> None:
-        if len(self._at_work) == self._told:
+    def _report(self) -> None:
+        if len(self._suspects) == self._reported:
             return
-        self._told = len(self._at_work)
+        self._reported = len(self._suspects)
         crash_id = crashes.crash_id_of(self._boot_id, self.crashes)
-        found = tuple(self._at_work)
+        found = tuple(self._suspects)
         self._on_crash(Crash(crash_id, self._crashed_wall_s, found))
 
-    def _give_up(self, at_work: InFlightRequest) -> None:
-        self._given_up.append(_GivenUp(at_work, time.monotonic()))
+    def _record_abandoned(self, request: InFlightRequest) -> None:
+        self._abandoned.append(_Abandoned(request, time.monotonic()))
 
-    def _given_up_since(self, since_s: float) -> list[InFlightRequest]:
-        return [g.at_work for g in self._given_up if g.at_s >= since_s]
+    def _abandoned_since(self, since_s: float) -> list[InFlightRequest]:
+        return [a.request for a in self._abandoned if a.at_s >= since_s]
 
 
 def suspect_of(call: calls.Call) -> crashes.Suspect:
-    """Returns what a call asks for."""
+    """Returns the content and source of a call."""
     fingerprint = fingerprints.fingerprint_of(
         call.method, call.host, call.target, call.headers, call.body
     )
--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -41,7 +41,9 @@
         book: crashes.CrashTracker,
         tell: Callable[[tables.Entry], None],
         recorder: timeline.Recorder,
-        is_port_closed: crash_detector_lib.IsPortClosed = backend_probe.is_port_closed,
+        is_port_closed: crash_detector_lib.IsPortClosed = (
+            backend_probe.is_port_closed
+        ),
     ):
         self._book = book
         self._tell = tell
--- a/tests/unit/test_crash_detector.py
+++ b/tests/unit/test_crash_detector.py
@@ -1,7 +1,7 @@
-"""A crash of a backend server is told from answers that are merely lost.
+"""Tests that crashes of a backend server are told apart from lost answers.
 
-Seen: a server ended with three to eighteen requests at work, and no line said
-that it had ended, nor which requests had been there.
+Guards against crashes that are not logged: a server exited with three to
+eighteen requests in flight, and no log line reported the crash or the requests.
 """
 
 import asyncio
@@ -15,20 +15,26 @@
 
 
 class _World:
-    """A watch beside a backend server that is gone, or is not."""
+    """A detector beside a backend server whose port is closed or open.
+
+    Attributes:
+        closed: Whether the port of the server is closed.
+        probes: Number of checks of the port.
+        reported: The crashes as reported.
+    """
 
     def __init__(self) -> None:
-        self.gone = True
-        self.asked = 0
-        self.told: list[crash_detector_lib.Crash] = []
+        self.closed = True
+        self.probes = 0
+        self.reported: list[crash_detector_lib.Crash] = []
         self.crash_detector = crash_detector_lib.CrashDetector(
-            "boot", self.told.append, self._is_port_closed
+            "boot", self.reported.append, self._is_port_closed
         )
 
     async def _is_port_closed(self, address: str) -> bool:
-        self.asked += 1
+        self.probes += 1
         await asyncio.sleep(0)
-        return self.gone
+        return self.closed
 
     def begin(self, request_id: str) -> calls.Attempt:
         attempt = builders.an_attempt(request_id)
@@ -44,27 +50,27 @@
         )
 
     def suspects(self) -> list[set[str]]:
-        """Returns the requests of each crash, as told last."""
-        by_crash = {crash.crash_id: crash for crash in self.told}
+        """Returns the requests of each crash, as last reported."""
+        by_crash = {crash.crash_id: crash for crash in self.reported}
         return [
             {one.request_id for one in crash.in_flight}
             for crash in by_crash.values()
         ]
 
 
-def test_all_that_was_at_a_server_is_suspected_of_its_crash():
+def test_all_requests_in_flight_are_suspects_of_a_crash():
     async def scenario() -> None:
         world = _World()
         answered = world.begin("answered")
         world.crash_detector.on_end(answered, builders.an_answer())
         await world.lose(*[world.begin(f"r-{n}") for n in range(3)])
         assert world.suspects() == [{"r-0", "r-1", "r-2"}]
-        assert world.asked == 1, "one question for all of one moment"
+        assert world.probes == 1, "one probe for all answers lost together"
 
     asyncio.run(scenario())
 
 
-def test_answer_lost_a_moment_later_belongs_to_the_same_crash():
+def test_answer_lost_shortly_after_a_crash_belongs_to_it():
     async def scenario() -> None:
         world = _World()
         first = world.begin("first")
@@ -78,29 +84,30 @@
     asyncio.run(scenario())
 
 
-def test_lost_answer_of_a_server_that_lives_is_no_crash():
+def test_lost_answer_of_a_running_server_is_no_crash():
     async def scenario() -> None:
         world = _World()
-        world.gone = False
+        world.closed = False
         await world.lose(world.begin("cut"))
-        assert not world.told
+        assert not world.reported
 
     asyncio.run(scenario())
 
 
-def test_next_crash_under_the_same_request_is_another_one():
+def test_second_crash_gets_an_id_of_its_own():
     async def scenario() -> None:
         world = _World()
         await world.lose(world.begin("r-1"))
         await world.lose(world.begin("r-2"))
         assert world.suspects() == [{"r-1"}, {"r-2"}]
-        assert len({crash.crash_id for crash in world.told}) == 2
+        assert len({crash.crash_id for crash in world.reported}) == 2
 
     asyncio.run(scenario())
 
 
-def test_request_whose_caller_left_a_moment_ago_is_a_suspect_too():
-    # A server works on for a moment after the connection was closed.
+def test_recently_abandoned_request_is_a_suspect():
+    # A server continues to process a request for a moment after its connection
+    # was closed.
     async def scenario() -> None:
         world = _World()
         world.crash_detector.on_end(world.begin("left"), None)
@@ -110,9 +117,10 @@
     asyncio.run(scenario())
 
 
-def test_server_that_fell_silent_has_crashed_once_another_start_is_heard_of():
-    # It crashed without closing its connections: no answer is lost, all are
-    # late, and nothing refuses. The next incarnation's heartbeat shows it.
+def test_new_incarnation_shows_the_crash_of_a_hanging_server():
+    # The server crashed without closing its connections: no answer is lost,
+    # all time out, and no connection is refused. Only the heartbeat of the next
+    # incarnation shows the crash.
     async def scenario() -> None:
         world = _World()
         late = world.begin("late")
@@ -126,7 +134,7 @@
     asyncio.run(scenario())
 
 
-def test_start_after_a_crash_that_was_seen_accuses_nobody_again():
+def test_new_incarnation_after_a_detected_crash_adds_no_suspects():
     async def scenario() -> None:
         world = _World()
         await world.lose(world.begin("r-1"))
@@ -134,7 +142,7 @@
         world.crash_detector.on_end(
             refused, outcomes.not_run(outcomes.Reason.UNREACHABLE)
         )
-        world.begin("at the next one")
+        world.begin("at the next incarnation")
         world.crash_detector.on_replaced()
         assert world.suspects() == [{"r-1"}]
 
