--- a/packages/burdockfront-node/src/burdockfront_node/backend_self_reports.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_self_reports.py
@@ -1,7 +1,7 @@
-"""What a guard believes of the terms that its backend server names.
+"""Tracks the current self report of the backend server beside a guard.
 
-All requests to a server pass its guard, so what the server says on its answers
-is known and held in one place, whichever node asked.
+All requests to a server pass through its guard, so the self reports on its
+answers are merged and applied in one place, whichever node sent the request.
 """
 
 import collections
@@ -14,21 +14,23 @@
 from burdockfront import self_reports
 from burdockfront import timeline
 
-# Starts of one server that are heard of within a moment; two as a rule.
-_MOST_TOLD = 8
+# Limit on the incarnations of one server that are reported within a short time;
+# usually there are two.
+_MAX_RELAYED = 8
 
 
 class BackendSelfReports:
-    """Beliefs about the start of a backend server that is in service.
+    """The self report of the incarnation that is in service.
 
     Args:
-        recorder: Where changes of a belief go.
+        recorder: Records changes of the report.
 
     Attributes:
-        report: What that start said last.
-        rate: Holds the limit that it names.
-        is_plain: It said nothing out of the ordinary, and has answered.
-        on_leaving: Called with each start that is found to leave.
+        report: The latest report of that incarnation.
+        rate: Token bucket for the limit that it reports.
+        is_plain: The incarnation has answered, is not leaving and reports no
+            limit.
+        on_leaving: Called with each incarnation that is found to leave.
     """
 
     def __init__(self, recorder: timeline.Recorder):
@@ -38,26 +40,30 @@
         self.on_leaving: Callable[[incarnations.Incarnation], None] = _ignore
         self._recorder = recorder
         self._unreadable = ""
-        # Whether any answer of this start has come to this process.
+        # Whether this process has received an answer of this incarnation.
         self._answered = False
-        # What was told of starts that are not in service (yet).
-        self._told: collections.OrderedDict[
+        # Relayed reports of incarnations that are not in service (yet).
+        self._relayed: collections.OrderedDict[
             incarnations.Incarnation, self_reports.SelfReport
         ] = collections.OrderedDict()
 
     def on_in_service(self, incarnation: incarnations.Incarnation) -> None:
-        """Notes which start is in service; another one has said nothing yet."""
+        """Records which incarnation is in service.
+
+        A new incarnation starts without any report.
+        """
         if incarnation.may_be(self.report.incarnation):
             if incarnation.born_ms is not None:
-                # Known now, it tells the next start of this id from this one.
+                # Once known, the start time distinguishes this incarnation
+                # from the next one with the same id.
                 self.report = dataclasses.replace(
                     self.report, incarnation=incarnation
                 )
             return
         self._answered = False
         self.rate.reset()
-        self._believe(self_reports.SelfReport(incarnation), "start")
-        for report in list(self._told.values()):
+        self._update(self_reports.SelfReport(incarnation), "start")
+        for report in list(self._relayed.values()):
             self.on_relayed_report(report)
 
     def on_answer(
@@ -66,12 +72,12 @@
         incarnation: incarnations.Incarnation,
         handed_s: float,
     ) -> None:
-        """Learns from an answer that came just now.
+        """Merges the self report on an answer that has just arrived.
 
         Args:
-            notice: What it says.
-            incarnation: Which start gave it.
-            handed_s: When its request was handed over.
+            notice: The self report on the answer.
+            incarnation: The incarnation that gave the answer.
+            handed_s: Time at which its request was handed over.
         """
         if not incarnation.may_be(self.report.incarnation):
             return
@@ -80,58 +86,61 @@
             self._note_unreadable(notice.unreadable)
         else:
             self.rate.observe(notice.limit_per_s, handed_s, time.monotonic())
-        believed = dataclasses.replace(
+        updated = dataclasses.replace(
             self.report,
             leaving=notice.leaving or self.report.leaving,
             limit_per_s=self.rate.per_s,
         )
-        self._believe(believed, "answer")
+        self._update(updated, "answer")
 
     def on_relayed_report(self, report: self_reports.SelfReport) -> None:
-        """Takes what another node remembers, or a question to the server told.
+        """Merges a report that another node received from this server.
 
-        What answers said to this process is newer.
+        Reports on answers that this process received are newer.
         """
         if not report.incarnation.may_be(self.report.incarnation):
-            self._told[report.incarnation] = report
-            if len(self._told) > _MOST_TOLD:
-                self._told.popitem(last=False)
+            self._relayed[report.incarnation] = report
+            if len(self._relayed) > _MAX_RELAYED:
+                self._relayed.popitem(last=False)
             if report.leaving:
                 self.on_leaving(report.incarnation)
             return
-        believed = self.report
+        updated = self.report
         if report.leaving:
-            # Never taken back, so it holds whatever an answer said before.
-            believed = dataclasses.replace(believed, leaving=True)
-        if self._takes_limit(report):
+            # A leave is never revoked, so it applies whatever earlier answers
+            # reported.
+            updated = dataclasses.replace(updated, leaving=True)
+        if self._accepts_limit(report):
             assert report.limit_per_s is not None
             self.rate.set_limit(report.limit_per_s, time.monotonic())
-            believed = dataclasses.replace(
-                believed, limit_per_s=report.limit_per_s
+            updated = dataclasses.replace(
+                updated, limit_per_s=report.limit_per_s
             )
-        self._believe(believed, "told")
+        self._update(updated, "told")
 
-    def _takes_limit(self, report: self_reports.SelfReport) -> bool:
-        """Whether nothing newer is known than what another node remembers."""
+    def _accepts_limit(self, report: self_reports.SelfReport) -> bool:
+        """Whether a relayed limit is not superseded by newer information."""
         known = self._answered or self.rate.per_s is not None
         return report.limit_per_s is not None and not known
 
     def report_for(
-        self, told: self_reports.SelfReport | None
+        self, known: self_reports.SelfReport | None
     ) -> self_reports.SelfReport | None:
-        """Returns what a router should hear with an answer.
+        """Returns the report to send to a router with an answer, if any.
 
         Args:
-            told: What it believes; if that is wrong it has to be corrected.
+            known: The report that the router has; if it is wrong it has to be
+                corrected.
         """
-        if told is None and self.report.is_plain:
+        if known is None and self.report.is_plain:
             return None
         if self.report.incarnation == incarnations.UNIDENTIFIED:
-            # Remembered elsewhere, it would keep the next start out as well.
+            # A router that recorded the leave would apply it to the next
+            # incarnation as well.
             return dataclasses.replace(self.report, leaving=False)
         return self.report
 
-    def _believe(self, report: self_reports.SelfReport, source: str) -> None:
+    def _update(self, report: self_reports.SelfReport, source: str) -> None:
         before = self.report
         self.report = report
         self.is_plain = self._answered and report.is_plain
@@ -167,4 +176,4 @@
 
 
 def _ignore(incarnation: incarnations.Incarnation) -> None:
-    """Stands in until the guard listens."""
+    """Default of `on_leaving` until the guard sets its own."""
