--- a/packages/burdockfront-node/src/burdockfront_node/gate.py
+++ b/packages/burdockfront-node/src/burdockfront_node/gate.py
@@ -1,7 +1,8 @@
-"""The gate before a backend server: waits for a slot, or is refused.
+"""Async admission gate in front of a backend server.
 
-Decisions are `burdockfront.admission`; this turns them into awaits. A slot is
-held from `enter` (when it returns no refusal) to `leave`.
+A call waits at the gate until it gets a slot or is refused, as decided by
+`burdockfront.admission`. A slot is held from `enter` (if that returns no
+refusal) to `leave`.
 """
 
 import asyncio
@@ -27,12 +28,15 @@
 
 
 class Gate:
-    """Slots of one backend server.
+    """Admits calls to the slots of one backend server.
 
     Args:
-        announcement: What the backend server said of itself first.
-        policy_of: Returns the policy in force of a service.
-        rate: The rate that the backend server names on its answers.
+        announcement: The backend server's first announcement.
+        policy_of: Returns the active policy of a service.
+        rate: Token bucket for the rate limit that the backend server reports.
+
+    Attributes:
+        cancelled: Number of calls whose callers left while they waited.
     """
 
     def __init__(
@@ -59,12 +63,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Calls that wait or hold a slot."""
+        """Number of calls that wait or hold a slot."""
         return self._admission.in_use + len(self._waiting)
 
     @property
     def full(self) -> bool:
-        """Whether the next call waits."""
+        """Whether the next call would have to wait."""
         now_s = time.monotonic()
         if self._rate.per_s is not None and self._rate.wait_s(1, now_s) > 0.0:
             return True
@@ -77,7 +81,7 @@
 
     @property
     def slots(self) -> int:
-        """Slots of the backend server, as far as its claim is believed."""
+        """Accepted part of the slots that the backend server claims."""
         return self._limit.slots
 
     def level(self) -> int:
@@ -85,23 +89,23 @@
         return self._admission.level()
 
     def busy(self) -> float:
-        """Returns the share of slots in use lately, as the level sees it."""
+        """Returns the recent slot utilisation that the level is based on."""
         return self._admission.busy()
 
     def load(self) -> float:
-        """Returns slots used and waited for, per slot."""
+        """Returns the calls that wait or hold a slot, per slot."""
         return self._admission.load(time.monotonic())
 
     def announce(self, slots: int, cold: bool) -> None:
-        """Takes a further announcement of the same service."""
+        """Processes a further announcement of the same service."""
         self._limit.announce(slots, cold, time.monotonic())
 
     def on_restart(self) -> None:
-        """Takes the next announcement at its word."""
+        """Accepts the slots of the next announcement without proof."""
         self._limit.on_restart()
 
     def shed_by_backend(self) -> None:
-        """Learns that the backend server itself refused."""
+        """Records that the backend server itself refused a request."""
         self._admission.shed_by_backend(time.monotonic())
 
     async def enter(
@@ -112,44 +116,44 @@
         future = asyncio.get_running_loop().create_future()
         self._waiting[attempt_id] = _Waiting(context, future)
         now_s = time.monotonic()
-        self._follow(self._admission.offer(attempt_id, context, now_s))
+        self._apply(self._admission.offer(attempt_id, context, now_s))
         try:
             refusal: outcomes.Answer | None = await future
         except asyncio.CancelledError:
-            self._give_back(attempt_id, future)
+            self._on_cancelled(attempt_id, future)
             raise
         finally:
             self._waiting.pop(attempt_id, None)
         return refusal
 
     def leave(self, service_s: float, class_name: str = "") -> None:
-        """Gives a slot back.
+        """Returns a slot.
 
         Args:
-            service_s: How long it was used.
-            class_name: Class of the request, if it was served.
+            service_s: Time for which it was used.
+            class_name: Class of the request; empty if it was not served.
         """
         now_s = time.monotonic()
         if class_name:
             self._admission.record_service_time(class_name, service_s)
-        self._follow(self._admission.release(service_s, now_s))
+        self._apply(self._admission.release(service_s, now_s))
 
     def tick(self) -> None:
-        """Lets time pass, and takes a changed policy."""
+        """Advances time-based decisions and applies a changed policy."""
         policy = self._policy_of(self._service)
         if policy is not self._policy:
-            self._adopt(policy)
-        self._follow(self._admission.advance(time.monotonic()))
+            self._apply_policy(policy)
+        self._apply(self._admission.advance(time.monotonic()))
 
-    def _adopt(self, policy: policy_lib.Policy) -> None:
+    def _apply_policy(self, policy: policy_lib.Policy) -> None:
         before = self._policy
         self._policy = policy
         if policy.admission.kind == before.admission.kind:
             self._admission.update_policy(policy.admission)
             return
-        # Under load there may never be a moment without requests, and a
-        # policy has to be in force within seconds: those that hold a slot
-        # keep it, those that wait queue up once more.
+        # A policy has to take effect within seconds, but under load there may
+        # never be a moment without requests. Requests that hold a slot keep it;
+        # waiting ones are queued again.
         now_s = time.monotonic()
         fresh = admission_lib.create(
             policy.admission, self._limit, now_s, self._rate
@@ -158,23 +162,23 @@
         self._admission = fresh
         for attempt_id, waiting in list(self._waiting.items()):
             if not waiting.settled.done():
-                self._follow(fresh.offer(attempt_id, waiting.context, now_s))
+                self._apply(fresh.offer(attempt_id, waiting.context, now_s))
 
-    def _give_back(
+    def _on_cancelled(
         self,
         attempt_id: str,
         future: asyncio.Future[outcomes.Answer | None],
     ) -> None:
         self.cancelled += 1
         self._admission.cancel(attempt_id)
-        # It may have been given a slot in the very moment of the cancel;
-        # then nobody else would ever return that slot.
+        # The call may have been granted a slot at the moment of its
+        # cancellation; no other code would return that slot.
         has_slot = future.done() and not future.cancelled()
         if has_slot and future.result() is None:
             self.leave(0.0)
 
-    def _follow(self, step: admission_queue.Step) -> None:
-        """Tells waiting calls what was decided."""
+    def _apply(self, step: admission_queue.Step) -> None:
+        """Resolves waiting calls as decided by the admission."""
         for item_id in step.started:
             self._settle(item_id, None)
         for refusal in step.refused:
@@ -185,5 +189,5 @@
         if waiting is not None and not waiting.settled.done():
             waiting.settled.set_result(refusal)
         elif refusal is None:
-            # Its caller has gone: the slot goes to the next one.
+            # The caller has left; the slot goes to the next call.
             self.leave(0.0)
--- a/tests/unit/test_gate.py
+++ b/tests/unit/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate: awaits around the decisions of admission."""
+"""Tests of the async gate around the admission decisions."""
 
 import asyncio
 
@@ -22,10 +22,10 @@
     return builders.a_context(attempt_id=name)
 
 
-def test_changed_kind_of_admission_is_in_force_under_load():
-    # All slots are in use and callers wait, as they do in an overload. The
-    # operator changes the kind of admission; it must not wait for a moment
-    # without requests, and nobody may lose or double a slot.
+def test_changed_kind_of_admission_takes_effect_under_load():
+    # All slots are in use and calls wait, as in an overload, when an operator
+    # changes the kind of admission. The change must not wait for a moment
+    # without requests, and no slot may be lost or granted twice.
     async def scenario():
         level = policy.parse({"service": "fees"})
         limit = policy.parse(
@@ -48,9 +48,9 @@
     asyncio.run(scenario())
 
 
-def test_cancel_in_the_moment_of_a_slot_gives_it_back():
-    # The slot is granted and the caller hangs up before its task runs again.
-    # Not given back, the slot would be gone for good.
+def test_call_cancelled_while_it_gets_a_slot_returns_it():
+    # The slot is granted and the caller leaves before its task runs again.
+    # If it were not returned, the slot would be lost permanently.
     async def scenario():
         gate = _gate({"now": policy.default("fees")}, slots=1)
         assert await gate.enter(_context("a")) is None
