--- a/packages/burdockfront-node/src/burdockfront_node/backend.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend.py
@@ -1,11 +1,11 @@
-"""The backend server beside this node, as it announced itself.
-
-There is no list of backend servers: each one announces itself to its node
-about once a second. Its reports lag and mislead, so only three things of an
-announcement are used: the address, the slots (as an upper bound; a claim that
-grows is believed on proof) and whether it is leaving. That it is silent is
-judged by time, and that it is broken by what becomes of the requests it is
-handed.
+"""Announcements of the backend server beside a node.
+
+There is no list of backend servers: each one announces itself to its node about
+once a second. Announcements lag and can be misleading, so only three of their
+fields are used: the address, the slots (as an upper bound; an increased claim
+has to be proven) and whether the server is leaving. A server that stops
+announcing itself is detected by a timeout, and a broken one by the outcome of
+the requests that are handed to it.
 """
 
 import dataclasses
@@ -19,6 +19,7 @@
 from burdockfront import policy
 from burdockfront import self_reports
 
+# A server without an announcement for this long is considered unavailable.
 ANNOUNCEMENT_TIMEOUT_S = 3.0
 
 
@@ -41,17 +42,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a backend server says of itself.
+    """An announcement of a backend server.
 
     Attributes:
         service: Its service.
-        address: Where it takes requests, `ip:port`.
-        slots: Requests that it serves at once.
+        address: Address at which it accepts requests, `ip:port`.
+        slots: Number of requests that it serves concurrently.
         state: `ready`, `cold` or `draining`.
-        load: Its own report, shown to operators only.
-        embedded: It routes its deeper calls itself, with the library.
-        incarnation: Which start of it this is, as far as it tells.
-        notice: Whether it names a limit; None if it says nothing about that.
+        load: Its own load figure, shown to operators only.
+        embedded: It routes its downstream calls itself, with the library.
+        incarnation: Its incarnation, as far as it is reported.
+        notice: Its rate limit or the absence of one; None if the announcement
+            has no such field.
     """
 
     service: str
@@ -65,7 +67,7 @@
 
     @property
     def draining(self) -> bool:
-        """Whether it wants no new work."""
+        """Whether the server wants no new work."""
         return self.state == "draining"
 
 
@@ -73,7 +75,8 @@
     """Validates an announcement.
 
     Raises:
-        InvalidInputError: With path, expectation and remedy.
+        InvalidInputError: A field is invalid; the message has its path, the
+            expected value and a remedy.
     """
     try:
         model = _AnnouncementModel.model_validate(document)
