--- a/packages/burdockfront-node/src/burdockfront_node/availability.py
+++ b/packages/burdockfront-node/src/burdockfront_node/availability.py
@@ -1,7 +1,8 @@
-"""Whether a guard takes new work, before any question of slots.
+"""Decides whether a guard accepts new work, regardless of free slots.
 
-It does not without a backend server, while that one leaves or has stalled, and
-before this node knows the configuration.
+A guard accepts none if there is no backend server, while the server or the node
+is leaving, while the server is stalled, and before the node has the
+configuration.
 """
 
 import asyncio
@@ -16,20 +17,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GuardRules:
-    """What differs between the places in which a guard works.
+    """Settings of a guard that depend on the environment.
 
     Attributes:
-        drain_grace_s: After the announcement of a drain, calls of routers
-            that have not heard of it yet are still served this long; the
-            promise is "after a few seconds".
+        drain_grace_s: Time for which calls are still served after a drain has
+            been announced, because routers may not know of it yet. Drains are
+            guaranteed to take effect "after a few seconds".
         stall_floor_s: See `stall_detection.StallDetector`.
         moves_tickets: Whether a ticket of a leaving backend server may move
-            to another owner. Where entries keep their tickets to themselves,
-            a plain refusal lets them go elsewhere with a new one.
-        refusals_lower_slots: Whether a backend server that refuses has fewer
-            slots than it says. Not where it is told by the place how many it
-            has: one that refuses half of everything, whatever its load, would
-            be left with a single slot, and get the others back one a second.
+            to another owner. Where entries do not hand out their tickets, a
+            plain refusal lets them go elsewhere with a new one.
+        refusals_lower_slots: Whether a refusal by the backend server shows that
+            it has fewer slots than it announces. It does not where the
+            environment sets the number of slots: a server that refuses half of
+            all requests, whatever its load, would be left with a single slot,
+            and would regain one slot a second.
     """
 
     drain_grace_s: float = 2.0
@@ -39,16 +41,17 @@
 
 
 class Availability:
-    """What a guard knows of its backend server's life.
+    """Whether the backend server of a guard is available.
 
     Args:
-        ready: Whether this node knows the configuration; before, the deeper
-            calls of its backend server would be refused.
-        rules: What differs between places.
+        ready: Set once this node has the configuration; before that, the
+            downstream calls of its backend server would be refused.
+        rules: Settings that depend on the environment.
 
     Attributes:
-        announcement: What the backend server said last; None without one.
-        stalls: Finds out that it has stopped answering.
+        announcement: The backend server's latest announcement; None without a
+            server.
+        stalls: Detects that the server has stopped answering.
     """
 
     def __init__(self, ready: asyncio.Event, rules: GuardRules):
@@ -56,47 +59,47 @@
         self.stalls = stall_detection.StallDetector(rules.stall_floor_s)
         self._ready = ready
         self._rules = rules
-        # Loop times from which new work is refused. That the server leaves says
-        # nothing of the node, nor the other way round: what takes one back must
-        # not take back both.
+        # Monotonic times from which new work is refused. The server and the
+        # node leave independently: revoking one leave must not revoke the
+        # other.
         self._server_leaves_s = math.inf
         self._node_drains_s = math.inf
 
     @property
     def draining(self) -> bool:
-        """Whether it is leaving."""
+        """Whether the node or its backend server is leaving."""
         return min(self._server_leaves_s, self._node_drains_s) < math.inf
 
     @property
     def accepts_work(self) -> bool:
-        """Whether routers should send anything here."""
+        """Whether routers should send requests here."""
         leaving = self.draining or self.stalls.stalled
         return self._ready.is_set() and not leaving
 
     def announce(self, announcement: backend_lib.Announcement) -> None:
-        """Takes an announcement of the backend server."""
+        """Processes an announcement of the backend server."""
         before = self.announcement
         self.announcement = announcement
         self.stalls.on_announcement(time.monotonic())
         if announcement.draining:
-            self.server_leaves()
-        elif before is None or _takes_back(announcement, before):
+            self.on_server_leaving()
+        elif before is None or _revokes_leave(announcement, before):
             self._server_leaves_s = math.inf
 
     def clear_announcement(self) -> None:
-        """Notes that the backend server has gone silent."""
+        """Records that the backend server has stopped announcing itself."""
         self.announcement = None
 
-    def server_leaves(self) -> None:
-        """Takes no new work for this start of the server, after a grace."""
+    def on_server_leaving(self) -> None:
+        """Stops new work for this incarnation after the grace period."""
         leaves_s = time.monotonic() + self._rules.drain_grace_s
         self._server_leaves_s = min(self._server_leaves_s, leaves_s)
 
     def drain(self, grace_s: float | None = None) -> None:
-        """Takes no new work at this node from now on, after a short grace.
+        """Stops accepting new work at this node after a grace period.
 
         Args:
-            grace_s: The grace; by default that of the rules.
+            grace_s: The grace period; by default that of the rules.
         """
         if grace_s is None:
             grace_s = self._rules.drain_grace_s
@@ -104,14 +107,14 @@
         self._node_drains_s = min(self._node_drains_s, drains_s)
 
     def resume(self) -> None:
-        """Takes work again after an operator's drain was taken back."""
+        """Accepts work again after an operator has revoked a drain."""
         self._node_drains_s = math.inf
 
     def reason_to_refuse(self, service: str) -> outcomes.Reason | None:
-        """Returns why a call is not taken, whatever slots are free.
+        """Returns why a call is refused regardless of free slots, or None.
 
         Args:
-            service: What is called.
+            service: The called service.
         """
         announced = self.announcement
         if announced is None or not self._ready.is_set():
@@ -126,10 +129,10 @@
         return None
 
 
-def _takes_back(
+def _revokes_leave(
     announcement: backend_lib.Announcement, before: backend_lib.Announcement
 ) -> bool:
-    """Whether an announcement shows that the server no longer leaves."""
-    began_anew = announcement.incarnation != before.incarnation
-    began_anew = began_anew or announcement.state == "cold"
-    return began_anew or before.draining
+    """Whether an announcement shows that the server is not leaving any more."""
+    restarted = announcement.incarnation != before.incarnation
+    restarted = restarted or announcement.state == "cold"
+    return restarted or before.draining
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -1,9 +1,11 @@
-"""The guard: everything that reaches the backend server passes here.
-
-A call is first matched with the ledger (if it must not repeat), then waits at
-the gate, and is handed over. Because the guard is in the data path, the
-promises hold without trusting any other node's view: at most once, the
-shedding order, and no new work for a backend server that is leaving.
+"""Proxies and protects the backend server beside a node.
+
+All requests to the backend server pass through its guard. A call that must not
+run twice is first checked against the ledger; then it waits at the gate for a
+slot, and is handed over. Because the guard is in the data path, it enforces its
+guarantees independently of other nodes' views: each ticket runs at most once,
+load is shed in order of priority, and a backend server that is leaving gets no
+new work.
 """
 
 import asyncio
@@ -35,12 +37,13 @@
 from burdockfront_node import ticket_runs
 
 _TICK_S = 0.02
-_CALM_TICK_S = 0.5
+# Interval between ticks while no calls wait or are refused.
+_IDLE_TICK_S = 0.5
 
 
 @dataclasses.dataclass(slots=True)
 class GuardCounters:
-    """What a guard did, for metrics."""
+    """Counters of a guard, for metrics."""
 
     refused: int = 0
     limited: int = 0
@@ -51,20 +54,28 @@
     """Protects one backend server.
 
     Args:
-        node_id: This node.
+        node_id: Id of this node.
         ledger: Tickets of this process.
-        dispatcher: For the path level and for successor tickets.
-        attempts: Open attempts, for the backend server's deeper calls.
-        policy_of: Returns the policy in force of a service.
-        recorder: Where events go.
-        wall_s: A wall clock that never steps back.
-        ready: Whether this node knows the configuration; before, the deeper
-            calls of its backend server would be refused.
-        handover: The way to the backend server.
-        rules: What differs between places.
-        lineage: Learns what no context says, where none travels.
-        quarantine: Knows which requests crash servers; one of its own if not
-            given.
+        dispatcher: Provides path levels and successor tickets.
+        attempts: Open attempts, for the backend server's downstream calls.
+        policy_of: Returns the active policy of a service.
+        recorder: Records events.
+        wall_s: A wall clock that never goes back.
+        ready: Set once this node has the configuration; before that, the
+            downstream calls of its backend server would be refused.
+        handover: Sends requests to the backend server; by default over the
+            native interface.
+        rules: Settings that depend on the environment.
+        lineage: Infers what request contexts would carry, where backend servers
+            do not propagate them; None where they do.
+        quarantine: Refuses requests that crash servers; by default a standalone
+            one.
+
+    Attributes:
+        on_server_leaving: Called with each incarnation of the server that is
+            found to leave.
+        self_reports: The current self report of the backend server.
+        tickets: Runs attempts with tickets.
     """
 
     def __init__(
@@ -82,7 +93,6 @@
         lineage: lineage_lib.Lineage | None = None,
         quarantine: quarantine_lib.Quarantine | None = None,
     ):
-        # Told of each start of the server that is found to leave.
         self.on_server_leaving: Callable[[incarnations.Incarnation], None]
         self.on_server_leaving = _ignore
         self._lineage = lineage
@@ -94,7 +104,7 @@
         self._counters = GuardCounters()
         self._dispatcher = dispatcher
         self.self_reports = backend_self_reports.BackendSelfReports(recorder)
-        self.self_reports.on_leaving = self._server_leaves
+        self.self_reports.on_leaving = self._handle_server_leaving
         self._runs = backend_runs.BackendRuns(
             handover
             or handover_lib.PlainHandover(
@@ -109,27 +119,27 @@
             self._rules.refusals_lower_slots,
         )
         steps = ticket_runs.Steps(
-            self._admit, self._runs.run, self._successor, self._give_back
+            self._admit, self._runs.run, self._successor, self._return_slot
         )
         self.tickets = ticket_runs.TicketRuns(ledger, steps, wall_s)
         self._policy_of = policy_of
         self._recorder = recorder
         self._gate: gate_lib.Gate | None = None
-        self._hurry = asyncio.Event()
+        self._pressure = asyncio.Event()
 
     @property
     def announcement(self) -> backend_lib.Announcement | None:
-        """What the backend server said last; None without one."""
+        """The backend server's latest announcement; None without a server."""
         return self._availability.announcement
 
     @property
     def in_flight(self) -> int:
-        """Calls that wait or run here."""
+        """Number of calls that wait or run here."""
         return self._gate.in_flight if self._gate else 0
 
     @property
     def slots(self) -> int:
-        """Slots that routers may count on; 0 without a backend server."""
+        """Slots available to routers; 0 without a backend server."""
         if self.announcement is None or self._gate is None:
             return 0
         return self._gate.slots
@@ -141,16 +151,16 @@
 
     @property
     def draining(self) -> bool:
-        """Whether it is leaving."""
+        """Whether the node or its backend server is leaving."""
         return self._availability.draining
 
     @property
     def accepts_work(self) -> bool:
-        """Whether routers should send anything here."""
+        """Whether routers should send requests here."""
         return self._availability.accepts_work
 
     def counters(self) -> dict[str, int]:
-        """Returns what was done since the start."""
+        """Returns the counters since the start of this process."""
         return {
             "handed_over": self._runs.handed_over,
             **dataclasses.asdict(self._counters),
@@ -164,11 +174,11 @@
         return self._gate.level() if self._gate else 0
 
     def load(self) -> float:
-        """Returns slots used and waited for, per slot."""
+        """Returns the calls that wait or run, per slot."""
         return self._gate.load() if self._gate else 0.0
 
     def announce(self, announcement: backend_lib.Announcement) -> None:
-        """Takes an announcement of the backend server."""
+        """Processes an announcement of the backend server."""
         before = self.announcement
         self.self_reports.on_in_service(announcement.incarnation)
         if announcement.notice is not None:
@@ -187,13 +197,13 @@
         self._gate.announce(announcement.slots, turned_cold)
 
     def on_restart(self, planned: bool = False) -> None:
-        """Forgets what was learned of an earlier start of the server.
+        """Resets the state that belongs to an earlier incarnation.
 
-        Without this a start that has more slots than the one before would
-        have to prove them, and one after a stall would count as stalled.
+        Without a reset, an incarnation with more slots than the previous one
+        would have to prove them, and one after a stall would count as stalled.
 
         Args:
-            planned: The earlier start had said that it leaves.
+            planned: The earlier incarnation had announced that it leaves.
         """
         if not planned:
             self._quarantine.crash_detector.on_replaced()
@@ -202,30 +212,32 @@
             self._gate.on_restart()
 
     def clear_announcement(self) -> None:
-        """Notes that the backend server has gone silent."""
+        """Records that the backend server has stopped announcing itself."""
         self._availability.clear_announcement()
 
-    def _server_leaves(self, incarnation: incarnations.Incarnation) -> None:
-        """Takes that a start of the server said on an answer that it leaves."""
+    def _handle_server_leaving(
+        self, incarnation: incarnations.Incarnation
+    ) -> None:
+        """Processes the report of an incarnation that it leaves."""
         announced = self.announcement
         if announced is not None and incarnation.may_be(announced.incarnation):
-            self._availability.server_leaves()
+            self._availability.on_server_leaving()
         self.on_server_leaving(incarnation)
 
     def drain(self, grace_s: float | None = None) -> None:
-        """Takes no new work from now on, after a short grace.
+        """Stops accepting new work after a grace period.
 
         Args:
-            grace_s: The grace; by default that of the rules.
+            grace_s: The grace period; by default that of the rules.
         """
         self._availability.drain(grace_s)
 
     def resume(self) -> None:
-        """Takes work again after an operator's drain was taken back."""
+        """Accepts work again after an operator has revoked a drain."""
         self._availability.resume()
 
     async def handle(self, attempt: calls.Attempt) -> outcomes.Answer:
-        """Serves one attempt, from the network or from this node."""
+        """Serves an attempt from a peer or from this node."""
         if attempt.told is not None:
             self.self_reports.on_relayed_report(attempt.told)
         if self._lineage is not None:
@@ -239,15 +251,16 @@
         return self._with_state(attempt, answer)
 
     async def tick_forever(self) -> None:
-        """Lets queued calls expire, levels move and stalls be seen.
+        """Periodically expires queued calls, updates levels and detects stalls.
 
-        Often while calls wait or are refused; seldom while the slots suffice,
-        when only a changed policy and a stall are to be seen.
+        Ticks are frequent while calls wait or are refused. While the slots
+        suffice they are rare, as only a changed policy or a stall has to be
+        noticed.
         """
         while True:
             if self._gate is None or not self._gate.under_pressure:
-                self._hurry.clear()
-                await self._until_hurry()
+                self._pressure.clear()
+                await self._wait_for_pressure()
             else:
                 await asyncio.sleep(_TICK_S)
             self._availability.stalls.check(time.monotonic())
@@ -268,10 +281,10 @@
                 slots=gate.slots,
             )
 
-    async def _until_hurry(self) -> None:
+    async def _wait_for_pressure(self) -> None:
         try:
-            async with asyncio.timeout(_CALM_TICK_S):
-                await self._hurry.wait()
+            async with asyncio.timeout(_IDLE_TICK_S):
+                await self._pressure.wait()
         except TimeoutError:
             return
 
@@ -284,7 +297,7 @@
     async def _admit(self, attempt: calls.Attempt) -> outcomes.Answer | None:
         """Waits for a slot; returns a refusal, or None with a slot."""
         arrived_s = time.monotonic()
-        refusal = self._unwilling(attempt)
+        refusal = self._early_refusal(attempt)
         refusal = refusal or await self._quarantine.enter(attempt)
         refusal = refusal or await self._wait_for_slot(attempt)
         if refusal is None:
@@ -297,7 +310,7 @@
     ) -> outcomes.Answer | None:
         assert self._gate is not None
         if self._gate.full:
-            self._hurry.set()
+            self._pressure.set()
         refusal: outcomes.Answer | None = None
         admitted = False
         try:
@@ -308,17 +321,17 @@
                 self._quarantine.leave(attempt)
         return refusal
 
-    def _unwilling(self, attempt: calls.Attempt) -> outcomes.Answer | None:
+    def _early_refusal(self, attempt: calls.Attempt) -> outcomes.Answer | None:
         """Returns a refusal that does not depend on slots."""
         reason = self._availability.reason_to_refuse(attempt.call.service)
         if reason is not None:
             return _not_run(reason)
-        if self._would_die(attempt.context):
+        if self._exceeds_path_level(attempt.context):
             return _not_run(outcomes.Reason.OVERLOAD_DEEPER)
         return None
 
-    def _would_die(self, context: context_lib.RequestContext) -> bool:
-        """Whether a new request is above the level of a deeper service."""
+    def _exceeds_path_level(self, context: context_lib.RequestContext) -> bool:
+        """Whether a new request exceeds the level of a downstream service."""
         if context.depth > 0:
             return False
         path_level = self._dispatcher.book.path_level(
@@ -326,14 +339,14 @@
         )
         return context.priority > path_level
 
-    def _give_back(self, attempt: calls.Attempt) -> None:
-        """Gives back a slot that was not used."""
+    def _return_slot(self, attempt: calls.Attempt) -> None:
+        """Returns a slot that was not used."""
         assert self._gate is not None
         self._quarantine.leave(attempt)
         self._gate.leave(0.0)
 
     def _successor(self, service: str) -> str | None:
-        """Returns a ticket of another owner."""
+        """Returns a ticket of another owner, or None."""
         if not self._rules.moves_tickets:
             return None
         ticket = self._dispatcher.mint(service, frozenset([self.node_id]))
@@ -374,11 +387,11 @@
     def _with_state(
         self, attempt: calls.Attempt, answer: outcomes.Answer
     ) -> outcomes.Answer:
-        """Adds what the asking side should know of this guard."""
+        """Adds the state of this guard that callers track to an answer."""
         if answer.outcome is outcomes.Outcome.UNKNOWN:
             self._counters.unknown += 1
         context = attempt.context
-        answer.level = self._told_level(context, answer)
+        answer.level = self._reported_level(context, answer)
         answer.report = None
         if attempt.told is not None or not self.self_reports.is_plain:
             answer.report = self.self_reports.report_for(attempt.told)
@@ -390,14 +403,15 @@
             answer.far_kb = self._lineage.transfer_cost_of(context.class_name)
         return answer
 
-    def _told_level(
+    def _reported_level(
         self, context: context_lib.RequestContext, answer: outcomes.Answer
     ) -> int | None:
-        """Returns the lowest level here and below.
+        """Returns the lowest level of this guard and its downstream services.
 
-        None while nothing is taken: routers would take the level of a frozen
-        or leaving server for that of its whole service, and that of a limited
-        one, whose slots are idle, for room.
+        None while no work is accepted: routers would apply the level of a
+        frozen or leaving server to its whole service. Also None for a
+        rate-limited server with idle slots, whose level would wrongly indicate
+        spare capacity.
         """
         if not self.accepts_work:
             return None
@@ -412,7 +426,7 @@
 
 
 def _ignore(incarnation: incarnations.Incarnation) -> None:
-    """Where announcements are all that is known of a server."""
+    """Default of `on_server_leaving`, for servers known by announcements."""
 
 
 def _not_run(reason: outcomes.Reason) -> outcomes.Answer:
--- a/tests/unit/test_crashing_backend.py
+++ b/tests/unit/test_crashing_backend.py
@@ -1,8 +1,9 @@
-"""A server that speaks the product's own interface crashes under a request.
+"""Tests the quarantine with a backend server that has the native interface.
 
-Seen where operators keep routes: one request crashed server after server. The
-cause, bounds that begin anew with each id, was the same on this way; the guard
-is the same, so its quarantine must hold here too.
+Guards against a request that crashes one server after the other, which was seen
+in environments with operator-managed routes. The cause, limits that start over
+with each request id, exists for the native interface too; it uses the same
+guard, so the quarantine has to apply there as well.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
 
 
 class _CrashingServer:
-    """Ends without an answer when it is asked."""
+    """Closes its port without an answer when it receives a request."""
 
     def __init__(self, address: str):
         self._host, _, self._port = address.rpartition(":")
--- a/tests/unit/test_guard.py
+++ b/tests/unit/test_guard.py
@@ -1,4 +1,4 @@
-"""The guard's refusals that do not depend on slots."""
+"""Tests of the guard's refusals that do not depend on free slots."""
 
 import asyncio
 import time
@@ -49,11 +49,11 @@
     return calls.Attempt(call, context, None)
 
 
-def test_node_that_is_not_ready_takes_no_work_for_its_backend_server():
+def test_node_that_is_not_ready_accepts_no_work_for_its_backend_server():
     # A VM was replaced while the platform service was down. Its node did not
-    # know the configuration yet and refused the deeper calls of the backend
-    # server beside it; but it took requests for it, found by peers at its old
-    # address. Each of them had cost work when it ended in a 502.
+    # have the configuration yet and refused the downstream calls of its backend
+    # server, but accepted requests for it from peers, which found the node at
+    # its old address. Each of these requests cost work and ended in a 502.
     async def scenario() -> None:
         ready = asyncio.Event()
         guard = _a_guard(ready)
@@ -62,7 +62,7 @@
         assert not guard.accepts_work
         answer = await guard.handle(_an_attempt())
         assert answer.outcome is outcomes.Outcome.NOT_RUN
-        assert answer.draining, "routers are told to go elsewhere"
+        assert answer.draining, "routers learn to use another guard"
         assert guard.counters()["handed_over"] == 0
         ready.set()
         assert guard.accepts_work
@@ -86,7 +86,7 @@
     return scripted_server.Step("\r\n".join(lines).encode())
 
 
-def test_server_of_the_products_own_interface_names_limit_on_its_answers():
+def test_server_with_the_native_interface_reports_a_limit_on_its_answers():
     async def scenario() -> None:
         steps = (
             _reply("Burdockfront-Limit: 2"),
@@ -103,23 +103,23 @@
             assert refused.reason is outcomes.Reason.LIMITED
             guard.announce(announced)
             assert guard.self_reports.report.limit_per_s == 2.0, (
-                "nothing was said"
+                "the announcement has no limit"
             )
             ended = _announced(server.address, instance="i-1", limit_per_s=None)
             guard.announce(ended)
             assert guard.self_reports.report.limit_per_s is None
             await guard.handle(_an_attempt())
             await guard.handle(_an_attempt())
-            assert guard.draining, "it said so on an answer"
+            assert guard.draining, "reported on an answer"
             guard.announce(announced)
-            assert guard.draining, "its heartbeat does not take that back"
+            assert guard.draining, "a heartbeat does not revoke the leave"
             guard.announce(_announced(server.address, instance="i-2"))
-            assert not guard.draining, "another start of it"
+            assert not guard.draining, "another incarnation"
 
     asyncio.run(scenario())
 
 
-def test_announcement_names_a_limit_before_any_answer():
+def test_limit_of_an_announcement_applies_before_any_answer():
     guard = _a_ready_guard()
     guard.announce(_announced("127.0.0.1:9", limit_per_s=0.5))
     assert guard.self_reports.report.limit_per_s == 0.5
--- a/tests/unit/test_routed_guard.py
+++ b/tests/unit/test_routed_guard.py
@@ -1,4 +1,4 @@
-"""The guard beside a backend server that knows nothing of this system."""
+"""Tests of the guard beside a backend server unaware of this system."""
 
 import asyncio
 import dataclasses
@@ -24,12 +24,12 @@
 
 
 class _Backend:
-    """A way to a backend server that answers as it is told.
+    """A handover to a fake backend server with a configurable answer.
 
     Attributes:
         answer: The answer to each request.
         handed: Ids of requests that were handed over.
-        free: Requests wait for it before they are answered.
+        free: Requests wait for this event before they are answered.
     """
 
     def __init__(self) -> None:
@@ -83,7 +83,7 @@
     dispatcher = builders.a_dispatcher(recorder)
     ready = asyncio.Event()
     ready.set()
-    way = _Backend()
+    fake = _Backend()
     guard = guard_lib.Guard(
         "n1",
         ledger.Ledger("n1", "b1", 1_000_000),
@@ -93,18 +93,19 @@
         recorder,
         time.time,
         ready,
-        way,
+        fake,
         _RULES,
     )
     announced = {"service": "fees", "address": "127.0.0.1:9", "slots": slots}
     guard.announce(backend.parse_announcement(announced))
-    return _World(guard, way, dispatcher)
+    return _World(guard, fake, dispatcher)
 
 
-def test_refusals_of_a_backend_server_do_not_take_its_slots():
-    # It refuses half of all requests for some seconds, whatever its load. Cut
-    # by each refusal, the guard was down to one slot, got back one a second,
-    # and the service was starved for ten seconds after the trouble.
+def test_refusals_of_a_backend_server_do_not_reduce_its_slots():
+    # The server refuses half of all requests for some seconds, whatever its
+    # load. With a cut of the slots at each refusal the guard was down to one
+    # slot, regained one a second, and the service was starved for ten seconds
+    # after the fault had ended.
     async def scenario() -> None:
         world = _world(slots=8)
         world.backend.answer = outcomes.not_run(outcomes.Reason.REJECTED, 1.0)
@@ -130,8 +131,9 @@
 
 
 def test_confirmation_whose_caller_left_the_queue_does_not_run():
-    # All slots are in use; the caller hangs up while its confirmation waits.
-    # Nobody would hear of the run, and the caller may ask again elsewhere.
+    # All slots are in use and the caller leaves while its confirmation waits.
+    # No caller would receive the result of a run, and the caller may repeat the
+    # request at another node.
     async def scenario() -> None:
         world = _world(slots=1)
         world.backend.free.clear()
@@ -156,8 +158,8 @@
     asyncio.run(scenario())
 
 
-def test_confirmation_under_way_goes_on_when_its_caller_leaves():
-    # It may have taken effect; whoever asks for it again gets its answer.
+def test_running_confirmation_continues_when_its_caller_leaves():
+    # The confirmation may have taken effect; a repeat gets its answer.
     async def scenario() -> None:
         world = _world(slots=1)
         world.backend.free.clear()
@@ -176,7 +178,7 @@
     asyncio.run(scenario())
 
 
-def test_leaving_backend_server_gets_nothing_from_that_moment():
+def test_leaving_backend_server_gets_no_more_requests():
     async def scenario() -> None:
         world = _world(slots=4)
         leaving = {
@@ -188,15 +190,15 @@
         world.guard.announce(backend.parse_announcement(leaving))
         answer = await world.guard.handle(world.confirmation("late"))
         assert answer.outcome is outcomes.Outcome.NOT_RUN
-        assert answer.moved_to is None, "a plain refusal: it may go elsewhere"
+        assert answer.moved_to is None, "a plain refusal: it may be rerouted"
         assert not world.backend.handed
 
     asyncio.run(scenario())
 
 
-def test_node_that_stops_takes_no_work_for_a_server_that_was_replaced():
-    # A server leaves and its successor comes while the node is being stopped:
-    # that the server is back does not take back that the node goes.
+def test_node_that_stops_accepts_no_work_for_a_replaced_server():
+    # A server leaves and is replaced while its node is being stopped. The new
+    # server must not revoke the leave of the node.
     async def scenario() -> None:
         world = _world(slots=4)
         announced = {"service": "fees", "address": "127.0.0.1:9", "slots": 4}
@@ -211,7 +213,7 @@
     asyncio.run(scenario())
 
 
-def test_operator_who_takes_a_drain_back_does_not_bring_a_leaving_server_work():
+def test_revoked_drain_brings_no_work_to_a_leaving_server():
     async def scenario() -> None:
         world = _world(slots=4)
         world.guard.drain()
