--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -1,4 +1,4 @@
-"""Hands attempts to the backend server, and learns from how they end."""
+"""Runs attempts at the backend server and evaluates their outcomes."""
 
 import time
 from collections.abc import Callable
@@ -21,18 +21,20 @@
     """Runs attempts that hold a slot.
 
     Args:
-        handover: The way to the backend server.
-        availability: Hears whether it still answers.
-        quarantine: Hears which requests are at it.
-        lineage: Learns what no context says; None where contexts travel.
-        policy_of: Returns the policy in force of a service.
-        recorder: Where events go.
-        beliefs: Learns what the server says of itself.
+        handover: Sends requests to the backend server.
+        availability: Receives the outcomes, to detect stalls.
+        quarantine: Tracks which requests are in flight.
+        lineage: Infers what request contexts would carry; None where backend
+            servers propagate them.
+        policy_of: Returns the active policy of a service.
+        recorder: Records events.
+        reports: Merges the self reports on answers.
         refusals_lower_slots: See `availability.GuardRules`.
 
     Attributes:
-        gate: Gave the slots; None until a backend server announced itself.
-        handed_over: Attempts so far.
+        gate: The gate that grants the slots; None until a backend server has
+            announced itself.
+        handed_over: Number of attempts so far.
     """
 
     def __init__(
@@ -43,7 +45,7 @@
         lineage: lineage_lib.Lineage | None,
         policy_of: Callable[[str], policy_lib.Policy],
         recorder: timeline.Recorder,
-        beliefs: backend_self_reports.BackendSelfReports,
+        reports: backend_self_reports.BackendSelfReports,
         refusals_lower_slots: bool,
     ):
         self.gate: gate_lib.Gate | None = None
@@ -54,29 +56,29 @@
         self._lineage = lineage
         self._policy_of = policy_of
         self._recorder = recorder
-        self._beliefs = beliefs
+        self._reports = reports
         self._refusals_lower_slots = refusals_lower_slots
 
     async def run(
         self, attempt: calls.Attempt, nonce: str | None
     ) -> outcomes.Answer:
-        """Hands an attempt over, and gives its slot back afterwards.
+        """Hands an attempt over and returns its slot afterwards.
 
         Args:
-            attempt: What to run.
-            nonce: Idempotency key of what must not repeat.
+            attempt: The attempt to run.
+            nonce: Idempotency key of a request that must not run twice.
         """
         gate = self.gate
-        assert gate is not None, "it gave the slot"
+        assert gate is not None, "the attempt has a slot of the gate"
         started_s = time.monotonic()
         self.handed_over += 1
-        self._note_begin(attempt, started_s)
+        self._record_start(attempt, started_s)
         answer: outcomes.Answer | None = None
         try:
             answer = await self._to_backend(attempt, nonce, started_s)
         finally:
             service_s = time.monotonic() - started_s
-            self._note_end(gate, answer, service_s)
+            self._record_end(gate, answer, service_s)
             self._quarantine.on_end(attempt, answer)
             served = answer is not None and answer.reason is None
             class_name = attempt.context.class_name if served else ""
@@ -99,7 +101,7 @@
         )
         return answer
 
-    def _note_begin(self, attempt: calls.Attempt, started_s: float) -> None:
+    def _record_start(self, attempt: calls.Attempt, started_s: float) -> None:
         self._recorder.note(
             time.time(),
             "call.handed-over",
@@ -129,18 +131,18 @@
         notice = answer.notice
         if notice is None:
             return answer
-        # Nearly always there is nothing to learn.
-        if notice is not self_reports.NO_NOTICE or not self._beliefs.is_plain:
-            self._beliefs.on_answer(notice, announced.incarnation, started_s)
+        # Nearly all answers carry no self report that changes anything.
+        if notice is not self_reports.NO_NOTICE or not self._reports.is_plain:
+            self._reports.on_answer(notice, announced.incarnation, started_s)
         return answer
 
-    def _note_end(
+    def _record_end(
         self,
         gate: gate_lib.Gate,
         answer: outcomes.Answer | None,
         service_s: float,
     ) -> None:
-        """Learns from how a hand-over ended, while its slot is still held."""
+        """Records the outcome of a handover while its slot is still held."""
         if answer is None or answer.outcome is outcomes.Outcome.UNKNOWN:
             self._availability.stalls.on_abandoned()
             return
--- a/packages/burdockfront-node/src/burdockfront_node/handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/handover.py
@@ -1,4 +1,4 @@
-"""Hands an attempt to the backend server and reads its whole answer."""
+"""Sends attempts to the backend server over the native interface."""
 
 import dataclasses
 import time
@@ -20,7 +20,7 @@
 
 
 class Handover(Protocol):
-    """The way from a guard to its backend server."""
+    """Transport from a guard to its backend server."""
 
     async def run(
         self,
@@ -33,12 +33,12 @@
 
 
 class PlainHandover:
-    """The product's own interface to backend servers.
+    """The native interface to backend servers.
 
     Args:
         peers: Connections.
         keys: Keys that sign contexts.
-        attempts: Open attempts, for the backend server's deeper calls.
+        attempts: Open attempts, for the backend server's downstream calls.
     """
 
     def __init__(
@@ -95,13 +95,13 @@
     ) -> list[tuple[str, str]]:
         context = attempt.context
         if not announced.embedded:
-            # The allowance stays with this node, which makes the deeper
-            # calls. In the header too, it could be spent twice.
+            # This node makes the downstream calls and keeps the allowance. If
+            # the header carried it as well, it could be used twice.
             context = dataclasses.replace(context, allowance=0)
         key = wire.IDEMPOTENCY_KEY.lower()
         headers = [
-            # The caller's ticket means nothing to a backend server; it gets
-            # the part of it that is the same for every repeat instead.
+            # The caller's ticket is opaque to a backend server. It is replaced
+            # by its nonce, which is the same for every repeat.
             *(h for h in attempt.call.headers if h[0].lower() != key),
             (context_lib.HEADER, context_lib.encode(context, self._keys)),
             (wire.ATTEMPT, context.attempt_id),
@@ -120,12 +120,12 @@
 ) -> outcomes.Answer:
     echoed = reply.header(wire.ATTEMPT)
     if echoed is not None and echoed != attempt.context.attempt_id:
-        # A backend server that mixes up its answers: this one is somebody
-        # else's, and must not reach this caller.
+        # The backend server has mixed up its answers: this one belongs to
+        # another caller and must not reach this one.
         return outcomes.unknown(outcomes.Reason.LOST_ANSWER)
     if announced.embedded:
         unspent = int(reply.header(wire.UNSPENT) or 0)
-    notice = _said_by(reply)
+    notice = _notice_of(reply)
     if reply.header(wire.OUTCOME) == outcomes.Outcome.NOT_RUN:
         refusal = outcomes.not_run(
             outcomes.Reason.REJECTED, admission.RETRY_AFTER_S, unspent
@@ -144,10 +144,10 @@
     )
 
 
-def _said_by(reply: peers_lib.Reply) -> self_reports.BackendNotice | None:
-    """Returns what a backend server says of itself on an answer.
+def _notice_of(reply: peers_lib.Reply) -> self_reports.BackendNotice | None:
+    """Returns the self report on an answer.
 
-    None if it says nothing there; its announcements may.
+    None if the answer has none; a report may then come with an announcement.
     """
     limit = reply.header(wire.LIMIT)
     leaving = reply.header(wire.LEAVING) == _IS_LEAVING
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -1,8 +1,8 @@
-"""Hands requests to a backend server that knows nothing of this system.
+"""Sends requests to a backend server that is unaware of this system.
 
-It gets the caller's own request with the terms of this attempt, in the dialect
-of its place, and its answer is trusted only as far as it proves itself: it must
-bear the id of the request and the marks of a whole answer.
+The server gets the caller's request with the headers of this attempt, in the
+dialect of the environment. Its answer is accepted only if it carries the id of
+the request and is marked as complete.
 """
 
 import time
@@ -19,19 +19,19 @@
 from burdockfront_node import backend as backend_lib
 from burdockfront_node import surroundings
 
-# The backend server's own answer at its deadline is waited for this long; it
-# is on the same VM. The asking node waits a little longer still.
-_LAST_ANSWER_S = 0.01
-_LEAST_REMAINING_S = 0.001
+# Time after the deadline for the backend server's own answer to arrive; the
+# server is on the same VM. The calling node waits slightly longer.
+_DEADLINE_GRACE_S = 0.01
+_MIN_REMAINING_S = 0.001
 
 
 class RoutedHandover:
-    """The connection between a guard and its backend server.
+    """Transport from a guard to its backend server.
 
     Args:
-        dialect: How the backend server speaks.
-        incarnations: Which incarnation is in service.
-        attempts: Open attempts, to find the parents of deeper calls.
+        dialect: The header conventions of the backend server.
+        incarnations: Tracks which incarnation is in service.
+        attempts: Open attempts, to find the parents of downstream calls.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
 
     @property
     def connections_opened(self) -> int:
-        """Connections made to the incarnation in service."""
+        """Number of connections opened to the incarnation in service."""
         return self._pool.opened if self._pool else 0
 
     async def run(
@@ -67,7 +67,7 @@
                 outcomes.Reason.DRAINING, admission.RETRY_AFTER_S
             )
         remaining_s = attempt.call.deadline_s - time.monotonic()
-        if remaining_s < _LEAST_REMAINING_S:
+        if remaining_s < _MIN_REMAINING_S:
             return outcomes.not_run(
                 outcomes.Reason.DEADLINE, admission.RETRY_AFTER_S
             )
@@ -82,10 +82,10 @@
         try:
             answer = await pool.exchange(
                 self._encode(attempt.call, terms),
-                self._recognise(attempt),
+                self._own_answer_check(attempt),
                 limit_bytes,
                 fresh=not attempt.call.idempotent,
-                timeout_s=remaining_s + _LAST_ANSWER_S,
+                timeout_s=remaining_s + _DEADLINE_GRACE_S,
             )
         except connection_lib.NotSentError:
             return outcomes.not_run(
@@ -97,12 +97,12 @@
             return outcomes.unknown(outcomes.Reason.LOST_ANSWER)
         finally:
             self._attempts.end(attempt.context.attempt_id)
-        return self._judge(answer, current.instance_id)
+        return self._evaluate(answer, current.instance_id)
 
     def _pool_of(
         self, address: str, current: incarnations_lib.Heartbeat
     ) -> pool_lib.Pool:
-        """Returns the connections to an incarnation, and to no earlier one."""
+        """Returns a connection pool that is used for one incarnation only."""
         known = (self._address, self._instance_id, self._born_ms)
         wanted = (address, current.instance_id, current.born_ms)
         if self._pool is None or known != wanted:
@@ -117,13 +117,13 @@
     def _encode(
         self, call: calls.Call, terms: surroundings.BackendTerms
     ) -> bytes:
-        """Returns the request with the terms of this attempt."""
+        """Returns the encoded request with the headers of this attempt."""
         headers = (*call.headers, *self._dialect.to_backend(terms))
         return connection_lib.encode_request(
             call.method, call.target, call.host, headers, call.body
         )
 
-    def _recognise(
+    def _own_answer_check(
         self, attempt: calls.Attempt
     ) -> Callable[[connection_lib.RawAnswer], bool]:
         request_id = attempt.context.request_id
@@ -133,14 +133,14 @@
 
         return is_own
 
-    def _sent_on(
+    def _forwarded_headers(
         self, headers: tuple[tuple[str, str], ...]
     ) -> tuple[tuple[str, str], ...]:
         stays = self._dialect.stays
         kept = wire.end_to_end(headers)
         return tuple([pair for pair in kept if pair[0] not in stays])
 
-    def _judge(
+    def _evaluate(
         self, answer: connection_lib.RawAnswer, instance_id: str
     ) -> outcomes.Answer:
         if not self._dialect.is_whole(answer):
@@ -153,8 +153,8 @@
                 refusal.notice = self._dialect.said_by(answer)
                 return refusal
             case surroundings.BackendWord.OTHER_INCARNATION:
-                # The address has a new owner, which ran nothing. Until its
-                # own heartbeat comes, nothing is known of it.
+                # Another incarnation has the address now and has not run the
+                # request. Until its heartbeat arrives nothing is known of it.
                 self._incarnations.record_replaced(instance_id)
                 return outcomes.not_run(
                     outcomes.Reason.OTHER_INCARNATION, admission.RETRY_AFTER_S
@@ -162,7 +162,7 @@
         return outcomes.Answer(
             outcomes.Outcome.DONE,
             answer.status,
-            headers=self._sent_on(answer.headers),
+            headers=self._forwarded_headers(answer.headers),
             body=answer.body,
             notice=self._dialect.said_by(answer),
         )
