--- a/packages/burdockfront-node/src/burdockfront_node/entry.py
+++ b/packages/burdockfront-node/src/burdockfront_node/entry.py
@@ -100,7 +100,7 @@
         if text is None:
             raise errors.MalformedTicketError()
         ticket = tickets.decode(text, self._tools.dispatcher.sender.keys)
-        state = await self._status.ask(ticket)
+        state = await self._status.query(ticket)
         return _json(200, {"ticket": text, "state": state})
 
     def _new_ticket(self, service: str) -> outcomes.Answer:
--- a/packages/burdockfront-node/src/burdockfront_node/internal_handlers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal_handlers.py
@@ -111,7 +111,7 @@
 
     def _on_ticket(self, message: dict[str, Any]) -> dict[str, Any]:
         ticket = tickets.decode(str(message["ticket"]), self._keys)
-        state, moved_to = self._status.here(ticket)
+        state, moved_to = self._status.local_state(ticket)
         return {"state": state, "moved_to": moved_to}
 
     def _denied(self, path: str) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/ticket_status.py
+++ b/packages/burdockfront-node/src/burdockfront_node/ticket_status.py
@@ -39,7 +39,7 @@
         self._dispatcher = dispatcher
         self._headers = headers
 
-    async def ask(self, ticket: tickets.Ticket) -> str:
+    async def query(self, ticket: tickets.Ticket) -> str:
         """Returns the state of a ticket, following moves."""
         for _ in range(_MOST_MOVES):
             state, moved_to = await self._ask_owner(ticket)
@@ -48,14 +48,14 @@
             ticket = tickets.decode(moved_to, self._dispatcher.sender.keys)
         return "unknown"
 
-    def here(self, ticket: tickets.Ticket) -> tuple[str, str]:
+    def local_state(self, ticket: tickets.Ticket) -> tuple[str, str]:
         """Returns state and successor as this node's ledger has them."""
         verdict = self._guard.tickets.look_up(ticket)
         return _state_of(verdict), verdict.moved_to or ""
 
     async def _ask_owner(self, ticket: tickets.Ticket) -> tuple[str, str]:
         if ticket.owner == self._guard.node_id:
-            return self.here(ticket)
+            return self.local_state(ticket)
         owner = self._dispatcher.router.find(ticket.service, ticket.owner)
         if owner is None or owner.boot_id != ticket.boot_id:
             return "unknown", ""
