--- a/packages/burdockfront-node/src/burdockfront_node/lineage.py
+++ b/packages/burdockfront-node/src/burdockfront_node/lineage.py
@@ -1,10 +1,11 @@
-"""Ties calls of a backend server that knows nothing of this system together.
-
-Where no context travels through a backend server, each node learns from what
-passes through it which requests are new work, and which classes of requests
-fail for want of room below (see `burdockfront.starvation`). A class that does
-is put on the path of the service in question, so that its new requests are
-refused by that service's level, before any work is spent on them.
+"""Relates the calls of backend servers that are unaware of this system.
+
+Where backend servers do not propagate request contexts, each node infers from
+its traffic which requests are new work, and which classes of requests fail
+because a downstream service is overloaded (see `burdockfront.starvation`). The
+overloaded service is added to the path of such a class, so new requests of the
+class are refused according to that service's level before any work is done for
+them.
 """
 
 import dataclasses
@@ -20,7 +21,7 @@
 from burdockfront_client import calls
 
 _SERVER_ERROR = 500
-_NO_ROOM = frozenset(
+_OVERLOAD_REASONS = frozenset(
     [
         outcomes.Reason.OVERLOAD,
         outcomes.Reason.LIMITED,
@@ -33,31 +34,35 @@
 
 
 class Lineage:
-    """What one node learned of the requests that pass through it.
+    """Infers origins, costs and downstream dependencies at one node.
 
     Args:
-        book: Levels of other services, and the paths that lead there.
-        services: Returns how many services there are.
+        level_tracker: Levels of other services and the paths that lead to them.
+        services: Returns the number of services in the system.
     """
 
-    def __init__(self, book: levels.LevelTracker, services: Callable[[], int]):
-        self._book = book
+    def __init__(
+        self, level_tracker: levels.LevelTracker, services: Callable[[], int]
+    ):
+        self._level_tracker = level_tracker
         self._services = services
         self._origins = starvation.CallOriginTracker()
         self._starvation = starvation.StarvationTracker()
-        self._detours = transfer_costs.TransferCostTracker(time.monotonic())
+        self._transfer_costs = transfer_costs.TransferCostTracker(
+            time.monotonic()
+        )
         self._new_work: set[str] = set()
-        self._running = call_correlation.CallCorrelator()
+        self._correlator = call_correlation.CallCorrelator()
 
     def is_new_work(self, class_name: str) -> bool:
-        """Whether guards said that requests of a class are new work."""
+        """Whether guards reported that requests of a class are new work."""
         return class_name in self._new_work
 
     def classify(self, attempt: calls.Attempt) -> calls.Attempt:
-        """Says of an attempt that arrives at the guard what kind it is."""
+        """Marks an attempt that arrives at the guard as new work or a call."""
         class_name = attempt.context.class_name
         if attempt.context.parent:
-            # A node has seen for whom it is made: a call, beyond doubt.
+            # A node knows the request that it is made for, so it is a call.
             return attempt
         self._origins.record(class_name, attempt.call.origin_service)
         new = self._origins.is_new_work(class_name, self._services())
@@ -68,27 +73,31 @@
         return dataclasses.replace(attempt, context=context)
 
     def parent_of(self, request_id: str) -> context_lib.RequestContext | None:
-        """Returns the request that a call is made for, if its id tells."""
-        return self._running.parent_of(request_id)
+        """Returns the request that a call is made for, or None if unknown."""
+        return self._correlator.parent_of(request_id)
 
     def transfer_cost_of(self, class_name: str) -> float:
-        """Returns the kilobytes that requests of a class cost below."""
-        return self._detours.kb_per_request(class_name)
+        """Returns the far kilobytes of the calls below a request of a class."""
+        return self._transfer_costs.kb_per_request(class_name)
 
     def on_run_start(self, attempt: calls.Attempt) -> None:
-        """Notes that a request is handed to the backend server."""
-        self._running.add(attempt.context)
-        self._detours.record_start(attempt.context.class_name, time.monotonic())
+        """Records that a request is handed to the backend server."""
+        self._correlator.add(attempt.context)
+        self._transfer_costs.record_start(
+            attempt.context.class_name, time.monotonic()
+        )
 
     def on_run_end(self, attempt: calls.Attempt) -> None:
-        """Notes that nobody waits for a request at the backend server."""
-        self._running.remove(attempt.context)
-        self._detours.record_end(attempt.context.class_name, time.monotonic())
+        """Records that a request at the backend server is no longer awaited."""
+        self._correlator.remove(attempt.context)
+        self._transfer_costs.record_end(
+            attempt.context.class_name, time.monotonic()
+        )
 
     def on_run_answer(
         self, attempt: calls.Attempt, started_s: float, answer: outcomes.Answer
     ) -> outcomes.Answer:
-        """Learns from the end of a request at the backend server."""
+        """Records the answer to a request and marks it if it was starved."""
         class_name = attempt.context.class_name
         timed_out = answer.reason is outcomes.Reason.DEADLINE
         failed = answer.status >= _SERVER_ERROR and (
@@ -97,13 +106,13 @@
         starved = self._starvation.record_end(class_name, started_s, failed)
         now_s = time.monotonic()
         for child in self._starvation.causes(class_name):
-            self._book.record_call(
+            self._level_tracker.record_call(
                 class_name, child.service, now_s, child.class_name
             )
         return dataclasses.replace(answer, starved=True) if starved else answer
 
     def on_call_answer(self, call: calls.Call, answer: outcomes.Answer) -> None:
-        """Learns from the final answer to a call that was sent from here."""
+        """Records the final answer to a call that this node sent."""
         class_name = call.context.class_name
         if call.parent_class:
             self._on_linked_call_answer(call, answer)
@@ -111,26 +120,29 @@
         if answer.nested_call:
             self._new_work.discard(class_name)
         elif answer.load is not None:
-            # A guard's own word; answers made here say nothing of the kind.
+            # Only a guard sets the load; answers made at this node do not show
+            # whether the class is new work.
             self._new_work.add(class_name)
         if class_name not in self._new_work:
-            self._detours.record_call(answer.far_kb, time.monotonic())
-        no_room = answer.reason in _NO_ROOM or answer.starved
-        if no_room and class_name not in self._new_work:
+            self._transfer_costs.record_call(answer.far_kb, time.monotonic())
+        overloaded = answer.reason in _OVERLOAD_REASONS or answer.starved
+        if overloaded and class_name not in self._new_work:
             child = starvation.Child(call.service, class_name)
             self._starvation.record_refusal(child, time.monotonic())
 
     def _on_linked_call_answer(
         self, call: calls.Call, answer: outcomes.Answer
     ) -> None:
-        """Learns from a call whose request is known."""
+        """Records the answer to a call whose parent request is known."""
         now_s = time.monotonic()
         class_name = call.context.class_name
         self._new_work.discard(class_name)
-        self._detours.record_call_of(call.parent_class, answer.far_kb, now_s)
-        self._book.record_call(
+        self._transfer_costs.record_call_of(
+            call.parent_class, answer.far_kb, now_s
+        )
+        self._level_tracker.record_call(
             call.parent_class, call.service, now_s, class_name
         )
-        if answer.reason in _NO_ROOM or answer.starved:
+        if answer.reason in _OVERLOAD_REASONS or answer.starved:
             child = starvation.Child(call.service, class_name)
             self._starvation.record_refusal(child, now_s)
