--- a/packages/burdockfront-node/src/burdockfront_node/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/quarantine.py
@@ -1,9 +1,9 @@
-"""Keeps requests that crash backend servers from them.
+"""Protects backend servers from requests that crash them.
 
-What counts against a request is decided by `burdockfront.crashes`; this is the
-way there and back: crashes and answers beside this node are told to all nodes,
-entries and guards ask what a request may do, and guards run suspects one at a
-time.
+`burdockfront.crashes` decides what counts against a request. This module
+connects it to a node: it reports crashes and answers of the node's backend
+server to all nodes, tells entries and guards whether a request may run, and
+runs suspects one at a time.
 """
 
 import asyncio
@@ -19,82 +19,86 @@
 from burdockfront_node import backend_probe
 from burdockfront_node import crash_detector as crash_detector_lib
 
-# An innocent suspect that waits longer is better off at another server; it has
-# not run, so it may go there.
-_LONGEST_TURN_WAIT_S = 0.5
+# An innocent suspect that would wait longer is better served by another server.
+# It has not run, so it may be rerouted.
+_MAX_LOCK_WAIT_S = 0.5
 
 
 class Quarantine:
-    """The suspects at one node.
+    """Refuses or serialises the suspects at one node.
 
     Args:
-        boot_id: Names this process, and with a number each crash.
-        book: The crashes that count.
-        tell: Takes an entry into the book, and tells other nodes.
-        recorder: Where events go.
-        is_port_closed: Tells whether nobody listens at an address.
+        boot_id: Id of this process; crash ids consist of it and a number.
+        tracker: Tracks the crashes that all nodes report.
+        publish: Merges an entry into the tracker and sends it to other nodes.
+        recorder: Records events.
+        is_port_closed: Returns whether no process listens at an address.
+
+    Attributes:
+        crash_detector: Tracks the requests in flight and detects crashes.
     """
 
     def __init__(
         self,
         boot_id: str,
-        book: crashes.CrashTracker,
-        tell: Callable[[tables.Entry], None],
+        tracker: crashes.CrashTracker,
+        publish: Callable[[tables.Entry], None],
         recorder: timeline.Recorder,
         is_port_closed: crash_detector_lib.IsPortClosed = (
             backend_probe.is_port_closed
         ),
     ):
-        self._book = book
-        self._tell = tell
+        self._tracker = tracker
+        self._publish = publish
         self._recorder = recorder
-        self._turns = _Turns()
+        self._suspect_lock = _SuspectLock()
         self.crash_detector = crash_detector_lib.CrashDetector(
-            boot_id, self._crashed, is_port_closed
+            boot_id, self._on_crash, is_port_closed
         )
 
     def refusal_of(self, call: calls.Call) -> outcomes.Answer | None:
-        """Returns the refusal of a call that is not to run now."""
-        if not self._book.suspects:
+        """Returns the refusal of a call that must not run now, or None."""
+        if not self._tracker.suspects:
             return None
         suspect = crash_detector_lib.suspect_of(call)
-        return self._refusal_of(call, suspect, self._judge(suspect))
+        return self._refusal_of(call, suspect, self._assess(suspect))
 
     async def enter(self, attempt: calls.Attempt) -> outcomes.Answer | None:
-        """Waits until an attempt may run as far as suspects go.
+        """Waits until no other suspect keeps an attempt from running.
 
         Returns:
-            A refusal, or None; then `leave` is owed.
+            A refusal, or None; in that case `leave` has to be called later.
         """
-        if not self._book.suspects:
+        if not self._tracker.suspects:
             return None
         suspect = crash_detector_lib.suspect_of(attempt.call)
-        judgement = self._judge(suspect)
-        if judgement.standing is crashes.Standing.ALONE:
+        assessment = self._assess(suspect)
+        if assessment.standing is crashes.Standing.ALONE:
             attempt_id = attempt.context.attempt_id
-            wait_s = min(_LONGEST_TURN_WAIT_S, attempt.context.remaining_s)
-            if not await self._turns.take(attempt_id, wait_s):
+            wait_s = min(_MAX_LOCK_WAIT_S, attempt.context.remaining_s)
+            if not await self._suspect_lock.acquire(attempt_id, wait_s):
                 return outcomes.not_run(
                     outcomes.Reason.OVERLOAD, admission.RETRY_AFTER_S
                 )
-            # It may have been acquitted meanwhile, or have crashed another.
-            judgement = self._judge(suspect)
-            if judgement.standing is not crashes.Standing.ALONE:
-                self._turns.give(attempt_id)
-        return self._refusal_of(attempt.call, suspect, judgement)
+            # Meanwhile it may have been acquitted, or have crashed another
+            # server.
+            assessment = self._assess(suspect)
+            if assessment.standing is not crashes.Standing.ALONE:
+                self._suspect_lock.release(attempt_id)
+        return self._refusal_of(attempt.call, suspect, assessment)
 
     def leave(self, attempt: calls.Attempt) -> None:
-        """Lets the next suspect run; may be called more than once."""
-        self._turns.give(attempt.context.attempt_id)
+        """Lets the next suspect run; repeated calls have no effect."""
+        self._suspect_lock.release(attempt.context.attempt_id)
 
     def on_end(
         self, attempt: calls.Attempt, answer: outcomes.Answer | None
     ) -> None:
-        """Notes the end of a run; an answer acquits the request.
+        """Records the end of a run; an answer acquits the request.
 
         Args:
-            attempt: What ran.
-            answer: What is known of it; None if its caller left.
+            attempt: The attempt that ran.
+            answer: Its answer; None if its caller left.
         """
         self.leave(attempt)
         self.crash_detector.on_end(attempt, answer)
@@ -102,38 +106,42 @@
             self._acquit(attempt)
 
     def _acquit(self, attempt: calls.Attempt) -> None:
-        if not self._book.suspects:
+        if not self._tracker.suspects:
             return
         suspect = crash_detector_lib.suspect_of(attempt.call)
-        for entry in self._book.acquittals_of(suspect, time.time()):
-            self._tell(entry)
+        for entry in self._tracker.acquittals_of(suspect, time.time()):
+            self._publish(entry)
 
     def _refusal_of(
         self,
         call: calls.Call,
         suspect: crashes.Suspect,
-        judgement: crashes.Assessment,
+        assessment: crashes.Assessment,
     ) -> outcomes.Answer | None:
-        """Returns a refusal, and logs what leads from its id to the crashes."""
-        if not judgement.refused_s:
+        """Returns a refusal, or None.
+
+        The recorded event links the id of the request to its fingerprint, which
+        leads to the crashes.
+        """
+        if not assessment.refused_s:
             return None
         self._recorder.record(
             time.time(),
             "request.refused",
             call.context.request_id,
             fingerprint=suspect.fingerprint,
-            standing=judgement.standing.value,
-            refused_s=round(judgement.refused_s, 1),
+            standing=assessment.standing.value,
+            refused_s=round(assessment.refused_s, 1),
         )
         return outcomes.not_run(
-            outcomes.Reason.QUARANTINED, judgement.refused_s
+            outcomes.Reason.QUARANTINED, assessment.refused_s
         )
 
-    def _judge(self, suspect: crashes.Suspect) -> crashes.Assessment:
-        return self._book.assess(suspect, time.monotonic(), time.time())
+    def _assess(self, suspect: crashes.Suspect) -> crashes.Assessment:
+        return self._tracker.assess(suspect, time.monotonic(), time.time())
 
-    def _crashed(self, crash: crash_detector_lib.Crash) -> None:
-        """Tells of a crash of the backend server beside this node."""
+    def _on_crash(self, crash: crash_detector_lib.Crash) -> None:
+        """Publishes a crash of the backend server beside this node."""
         suspects = [one.suspect for one in crash.in_flight]
         self._recorder.record(
             time.time(),
@@ -144,42 +152,42 @@
                 for one in crash.in_flight
             ],
         )
-        self._tell(crashes.crash_entry(crash.crash_id, suspects, crash.at_s))
+        self._publish(crashes.crash_entry(crash.crash_id, suspects, crash.at_s))
 
 
-class _Turns:
-    """Lets one suspect after the other run.
+class _SuspectLock:
+    """Lock that lets suspects run one at a time.
 
-    Several at one server that crashes would all be suspected again, and the
-    one that does it could not be told from the others.
+    If several suspects ran at a server that crashes, all of them would be
+    suspected again, and the cause could not be told from the others.
     """
 
     def __init__(self) -> None:
-        self._free = asyncio.Lock()
+        self._lock = asyncio.Lock()
         self._holder = ""
 
-    async def take(self, attempt_id: str, longest_s: float) -> bool:
-        """Waits for the turn; returns whether it came in time."""
+    async def acquire(self, attempt_id: str, timeout_s: float) -> bool:
+        """Waits for the lock; returns whether it was acquired in time."""
         try:
-            async with asyncio.timeout(longest_s):
-                await self._free.acquire()
+            async with asyncio.timeout(timeout_s):
+                await self._lock.acquire()
         except TimeoutError:
             return False
         self._holder = attempt_id
         return True
 
-    def give(self, attempt_id: str) -> None:
-        """Gives the turn back, if this attempt has it."""
+    def release(self, attempt_id: str) -> None:
+        """Releases the lock if this attempt holds it."""
         if self._holder == attempt_id:
             self._holder = ""
-            self._free.release()
+            self._lock.release()
 
 
 def standalone(recorder: timeline.Recorder) -> Quarantine:
-    """Returns the quarantine of a node that has no others to tell."""
-    book = crashes.CrashTracker()
+    """Returns a quarantine that does not exchange crashes with other nodes."""
+    tracker = crashes.CrashTracker()
 
-    def tell(entry: tables.Entry) -> None:
-        book.merge(entry, time.monotonic(), time.time())
+    def publish(entry: tables.Entry) -> None:
+        tracker.merge(entry, time.monotonic(), time.time())
 
-    return Quarantine("", book, tell, recorder)
+    return Quarantine("", tracker, publish, recorder)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -1,8 +1,8 @@
-"""A guard keeps what crashes servers from them, and lets the innocent through.
+"""Tests that a guard refuses requests that crash servers, and only those.
 
-Seen: one request crashed all servers of a service, again and again. When a
-server crashes, up to all of its slots are in use, and each of these requests
-may have been the cause.
+Guards against a single request that repeatedly crashes all servers of a
+service. When a server crashes, up to all of its slots are in use, and each of
+the requests in flight may have been the cause.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class _World:
-    """The quarantine beside one server, of a node that has no others."""
+    """The quarantine of a node without peers, beside one server."""
 
     def __init__(self) -> None:
         self.recorder = timeline.Recorder("n1", "dc1", 100)
@@ -25,13 +25,13 @@
         self.crashes = 0
 
     def crash(self, *attempts: calls.Attempt) -> None:
-        """Notes a crash of another server under the same requests."""
+        """Records a crash of another server with the same requests."""
         self.crashes += 1
         suspects = [crash_detector.suspect_of(one.call) for one in attempts]
         entry = builders.a_crash(
             f"other.{self.crashes}", *suspects, at_s=_wall_s()
         )
-        self.quarantine._tell(entry)
+        self.quarantine._publish(entry)
 
     def answer(self, attempt: calls.Attempt) -> None:
         self.quarantine.on_end(attempt, builders.an_answer())
@@ -59,9 +59,9 @@
     asyncio.run(scenario())
 
 
-def test_suspect_that_waits_too_long_may_go_elsewhere(monkeypatch):
+def test_suspect_that_waits_too_long_may_be_rerouted(monkeypatch):
     async def scenario() -> None:
-        monkeypatch.setattr(quarantine_lib, "_LONGEST_TURN_WAIT_S", 0.01)
+        monkeypatch.setattr(quarantine_lib, "_MAX_LOCK_WAIT_S", 0.01)
         world = _World()
         first = builders.an_attempt("r-1")
         second = builders.an_attempt("r-2")
@@ -75,9 +75,9 @@
     asyncio.run(scenario())
 
 
-def test_copies_that_wait_behind_an_answered_one_run_side_by_side():
-    # Many callers ask for the same listing. It was at a server that crashed;
-    # an answer from anywhere shows that it was not the cause.
+def test_copies_of_an_answered_request_run_concurrently():
+    # Many callers request the same listing, which was in flight at a server
+    # that crashed. An answer from any server shows that it was not the cause.
     async def scenario() -> None:
         world = _World()
         copies = [
@@ -96,7 +96,7 @@
     asyncio.run(scenario())
 
 
-def test_request_under_which_three_servers_crashed_is_refused_as_not_run():
+def test_request_that_crashed_three_servers_is_refused_as_not_run():
     async def scenario() -> None:
         world = _World()
         deadly = builders.an_attempt("r-1", target="/deadly")
@@ -111,10 +111,10 @@
             assert refusal.outcome is outcomes.Outcome.NOT_RUN
             assert refusal.reason is outcomes.Reason.QUARANTINED
             assert refusal.retry_after_s > 60.0
-        # From the id that a caller complains of to the crashes.
-        told = world.recorder.select(timeline.Filter(request="r-2"), 9)[-1]
+        # The event leads from the request id that a caller has to the crashes.
+        event = world.recorder.select(timeline.Filter(request="r-2"), 9)[-1]
         suspect = crash_detector.suspect_of(deadly.call)
-        assert told.detail["fingerprint"] == suspect.fingerprint
+        assert event.detail["fingerprint"] == suspect.fingerprint
 
     asyncio.run(scenario())
 
@@ -135,12 +135,12 @@
         assert refusal.reason is outcomes.Reason.QUARANTINED
         last = builders.an_attempt("r-3", target="/last")
         world.crash(last)
-        assert await world.quarantine.enter(last) is None, "the turn is free"
+        assert await world.quarantine.enter(last) is None, "the lock is free"
 
     asyncio.run(scenario())
 
 
-def test_suspect_whose_caller_leaves_gives_its_turn_back():
+def test_suspect_whose_caller_leaves_does_not_block_the_next():
     async def scenario() -> None:
         world = _World()
         first = builders.an_attempt("r-1")
@@ -157,7 +157,7 @@
     asyncio.run(scenario())
 
 
-def test_two_crashes_leave_time_for_the_servers_to_come_back():
+def test_two_crashes_pause_a_suspect_while_servers_restart():
     async def scenario() -> None:
         world = _World()
         deadly = builders.an_attempt("r-1")
