--- a/packages/burdockfront-node/src/burdockfront_node/account_status.py
+++ b/packages/burdockfront-node/src/burdockfront_node/account_status.py
@@ -1,4 +1,4 @@
-"""What operators see of client accounts at one node; never a key."""
+"""Status of client accounts at one node for operators, without keys."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -9,50 +9,51 @@
 from burdockfront import routes as routes_lib
 from burdockfront_node.controllers import quota_exchange as quota_exchange_lib
 
-# Accounts that metrics name; the others are told of together.
-_NAMED = 20
+# Number of accounts with a metric of their own; the others are added up.
+_MAX_NAMED = 20
 _REST = "(others)"
 
 
 class AccountStatus:
-    """Tells of accounts, and of their quotas.
+    """Reports client accounts and their quotas.
 
     Args:
-        book: The table in force.
-        quotas: What accounts may spend.
+        resolver: The active route table.
+        quotas: The quotas of the accounts.
     """
 
     def __init__(
         self,
-        book: routes_lib.RouteResolver,
+        resolver: routes_lib.RouteResolver,
         quotas: quota_exchange_lib.QuotaExchange,
     ):
-        self._book = book
+        self._resolver = resolver
         self._quotas = quotas
 
     async def accounts(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Returns all accounts as this node knows them."""
+        """Returns all accounts that this node knows."""
         return {
-            "routes": self._book.version,
+            "routes": self._resolver.version,
             "keeper": self._quotas.keeper_id,
             "reporters": self._quotas.keeper.reporters,
             "share": round(self._quotas.keeper.share, 3),
             "accounts": [
-                self._row(account) for account in self._book.accounts.accounts
+                self._row(account)
+                for account in self._resolver.accounts.accounts
             ],
         }
 
     def metrics(self) -> Iterator[core.Metric]:
-        """Yields what was refused, by account, largest first."""
+        """Yields the refused requests by account, largest number first."""
         family = core.CounterMetricFamily(
             "burdockfront_quota_refused",
             "requests refused beyond a quota",
             labels=["account"],
         )
         ranked = self._quotas.refused.most_common()
-        for account, count in ranked[:_NAMED]:
+        for account, count in ranked[:_MAX_NAMED]:
             family.add_metric([account], count)
-        rest = sum(count for _, count in ranked[_NAMED:])
+        rest = sum(count for _, count in ranked[_MAX_NAMED:])
         if rest:
             family.add_metric([_REST], rest)
         yield family
--- a/packages/burdockfront-node/src/burdockfront_node/ticket_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/ticket_runs.py
@@ -1,4 +1,4 @@
-"""Runs confirmations at most once: the ledger's decisions, as awaits."""
+"""Runs each ticket at most once, as the ledger decides."""
 
 import asyncio
 import dataclasses
@@ -17,28 +17,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Steps:
-    """What a run consists of, provided by the guard.
+    """The steps of a run, provided by the guard.
 
     Attributes:
         admit: Waits for a slot; returns a refusal, or None with a slot.
         hand_over: Hands an attempt with a slot to the backend server.
         successor: Returns a ticket of another owner, or None.
-        give_back: Gives a slot back that was admitted but not used.
+        return_slot: Returns a slot that was granted but not used.
     """
 
     admit: Callable[[calls.Attempt], Awaitable[outcomes.Answer | None]]
     hand_over: Callable[[calls.Attempt, str], Awaitable[outcomes.Answer]]
     successor: Callable[[str], str | None]
-    give_back: Callable[[calls.Attempt], None]
+    return_slot: Callable[[calls.Attempt], None]
 
 
 class TicketRuns:
-    """Attempts with tickets of this process.
+    """Runs the attempts whose tickets belong to this process.
 
     Args:
-        ledger: What is known of each ticket.
-        steps: What a run consists of.
-        wall_s: A wall clock that never steps back.
+        ledger: State of each ticket.
+        steps: The steps of a run.
+        wall_s: A wall clock that never goes back.
+
+    Attributes:
+        replayed: Number of stored answers that were returned again.
     """
 
     def __init__(
@@ -51,13 +54,13 @@
         self._steps = steps
         self._wall_s = wall_s
         self._running: dict[str, asyncio.Task[outcomes.Answer]] = {}
-        self._wanted: dict[str, int] = {}
+        self._waiters: dict[str, int] = {}
         self.replayed = 0
 
     async def serve(
         self, attempt: calls.Attempt, ticket: tickets.Ticket
     ) -> outcomes.Answer:
-        """Runs, replays, waits, forwards or refuses, as the ledger says."""
+        """Runs, replays, waits, forwards or refuses, as the ledger decides."""
         verdict = self._ledger.begin(ticket, self._wall_s())
         match verdict.decision:
             case ledger_lib.Decision.RUN:
@@ -73,7 +76,7 @@
                 return dataclasses.replace(verdict.answer, unspent=0)
 
     def look_up(self, ticket: tickets.Ticket) -> ledger_lib.Verdict:
-        """Tells what is known of a ticket, without running anything."""
+        """Returns the state of a ticket without running it."""
         return self._ledger.look_up(ticket, self._wall_s())
 
     async def _start(
@@ -81,8 +84,8 @@
     ) -> outcomes.Answer:
         """Runs a ticket in a task of its own.
 
-        A caller that hangs up must not cancel it: the confirmation may be
-        under way, and the caller's repeat wants its answer.
+        A caller that leaves must not cancel the run: the request may already be
+        running at the backend server, and a repeat needs its answer.
         """
         task = asyncio.create_task(self._run(attempt, ticket))
         self._running[ticket.nonce] = task
@@ -94,14 +97,14 @@
     async def _await_run(
         self, nonce: str, task: asyncio.Task[outcomes.Answer]
     ) -> outcomes.Answer:
-        """Waits for a run, and counts as one who wants it."""
-        self._wanted[nonce] = self._wanted.get(nonce, 0) + 1
+        """Waits for a run and is counted as one of its waiters."""
+        self._waiters[nonce] = self._waiters.get(nonce, 0) + 1
         try:
             return await asyncio.shield(task)
         finally:
-            self._wanted[nonce] -= 1
-            if not self._wanted[nonce]:
-                del self._wanted[nonce]
+            self._waiters[nonce] -= 1
+            if not self._waiters[nonce]:
+                del self._waiters[nonce]
 
     async def _wait_for(
         self, ticket: tickets.Ticket, context: context_lib.RequestContext
@@ -124,12 +127,12 @@
         refusal = await self._steps.admit(attempt)
         if refusal is not None:
             return self._refuse(ticket, refusal)
-        if ticket.nonce not in self._wanted:
-            # Everybody who asked for it left while it waited for a slot.
-            # Running it now would be work that nobody hears of.
-            self._steps.give_back(attempt)
-            gone = outcomes.not_run(outcomes.Reason.CALLER_GONE)
-            return self._refuse(ticket, gone)
+        if ticket.nonce not in self._waiters:
+            # All callers left while the request waited for a slot, so no caller
+            # would receive the result of a run.
+            self._steps.return_slot(attempt)
+            abandoned = outcomes.not_run(outcomes.Reason.CALLER_GONE)
+            return self._refuse(ticket, abandoned)
         self._ledger.hand_over(ticket.nonce)
         answer = outcomes.unknown(outcomes.Reason.LOST_ANSWER)
         try:
--- a/packages/burdockfront-node/src/burdockfront_node/ticket_status.py
+++ b/packages/burdockfront-node/src/burdockfront_node/ticket_status.py
@@ -1,6 +1,6 @@
-"""Looks up what became of a ticket, at its owner.
+"""Queries the state of a ticket at its owner.
 
-A caller whose answer was lost asks here before it asks anybody to repeat.
+A caller whose answer was lost queries the state before it repeats the request.
 States: `never-seen` (not run so far), `running`, `done`, `not-run` (closed: it
 will never run), `moved`, `unknown`.
 """
@@ -17,16 +17,16 @@
 PATH = "/peer/ticket"
 _TIMEOUT_S = 1.0
 _LIMIT_BYTES = 10_000
-_MOST_MOVES = 4
+_MAX_MOVES = 4
 
 
 class TicketStatus:
-    """Asks owners about tickets.
+    """Queries the owners of tickets.
 
     Args:
-        guard: This node's guard, an owner itself.
+        guard: This node's guard, which owns tickets itself.
         dispatcher: Finds other owners.
-        headers: Headers that authenticate this node to others.
+        headers: Headers that authenticate this node to its peers.
     """
 
     def __init__(
@@ -41,19 +41,19 @@
 
     async def query(self, ticket: tickets.Ticket) -> str:
         """Returns the state of a ticket, following moves."""
-        for _ in range(_MOST_MOVES):
-            state, moved_to = await self._ask_owner(ticket)
+        for _ in range(_MAX_MOVES):
+            state, moved_to = await self._query_owner(ticket)
             if not moved_to:
                 return state
             ticket = tickets.decode(moved_to, self._dispatcher.sender.keys)
         return "unknown"
 
     def local_state(self, ticket: tickets.Ticket) -> tuple[str, str]:
-        """Returns state and successor as this node's ledger has them."""
+        """Returns state and successor ticket from this node's ledger."""
         verdict = self._guard.tickets.look_up(ticket)
         return _state_of(verdict), verdict.moved_to or ""
 
-    async def _ask_owner(self, ticket: tickets.Ticket) -> tuple[str, str]:
+    async def _query_owner(self, ticket: tickets.Ticket) -> tuple[str, str]:
         if ticket.owner == self._guard.node_id:
             return self.local_state(ticket)
         owner = self._dispatcher.router.find(ticket.service, ticket.owner)
