--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -426,7 +426,7 @@
 
 
 def _ignore(incarnation: incarnations.Incarnation) -> None:
-    """Default of `on_server_leaving`, for servers known by announcements."""
+    """Default of `on_server_leaving`, where only announcements are used."""
 
 
 def _not_run(reason: outcomes.Reason) -> outcomes.Answer:
--- a/tests/unit/test_crashing_backend.py
+++ b/tests/unit/test_crashing_backend.py
@@ -48,10 +48,10 @@
 
 def _guard(address: str) -> guard_lib.Guard:
     recorder = timeline.Recorder("n1", "dc1", 100)
-    book = crashes.CrashTracker(crashes.Rules(pause_s=0.0))
+    tracker = crashes.CrashTracker(crashes.Rules(pause_s=0.0))
 
-    def tell(entry: tables.Entry) -> None:
-        book.merge(entry, time.monotonic(), time.time())
+    def publish(entry: tables.Entry) -> None:
+        tracker.merge(entry, time.monotonic(), time.time())
 
     ready = asyncio.Event()
     ready.set()
@@ -64,7 +64,7 @@
         recorder,
         time.time,
         ready,
-        quarantine=quarantine_lib.Quarantine("b1", book, tell, recorder),
+        quarantine=quarantine_lib.Quarantine("b1", tracker, publish, recorder),
     )
     announced = {"service": "fees", "address": address, "slots": 8}
     guard.announce(backend.parse_announcement(announced))
