--- a/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/backend_runs.py
@@ -1,4 +1,4 @@
-"""Hands attempts to the backend server, and learns from how they end."""
+"""Runs attempts at the backend server and evaluates their outcomes."""
 
 import time
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from burdockfront import timeline
 from burdockfront_client import calls
 from burdockfront_node import availability as availability_lib
-from burdockfront_node import backend_beliefs
+from burdockfront_node import backend_self_reports
 from burdockfront_node import gate as gate_lib
 from burdockfront_node import handover as handover_lib
 from burdockfront_node import lineage as lineage_lib
@@ -21,18 +21,20 @@
     """Runs attempts that hold a slot.
 
     Args:
-        handover: The way to the backend server.
-        availability: Hears whether it still answers.
-        quarantine: Hears which requests are at it.
-        lineage: Learns what no context says; None where contexts travel.
-        policy_of: Returns the policy in force of a service.
-        recorder: Where events go.
-        beliefs: Learns what the server says of itself.
+        handover: Sends requests to the backend server.
+        availability: Receives the outcomes, to detect stalls.
+        quarantine: Tracks which requests are in flight.
+        lineage: Infers what request contexts would carry; None where backend
+            servers propagate them.
+        policy_of: Returns the active policy of a service.
+        recorder: Records events.
+        reports: Merges the self reports on answers.
         refusals_lower_slots: See `availability.GuardRules`.
 
     Attributes:
-        gate: Gave the slots; None until a backend server announced itself.
-        handed_over: Attempts so far.
+        gate: The gate that grants the slots; None until a backend server has
+            announced itself.
+        handed_over: Number of attempts so far.
     """
 
     def __init__(
@@ -43,7 +45,7 @@
         lineage: lineage_lib.Lineage | None,
         policy_of: Callable[[str], policy_lib.Policy],
         recorder: timeline.Recorder,
-        beliefs: backend_beliefs.BackendBeliefs,
+        reports: backend_self_reports.BackendSelfReports,
         refusals_lower_slots: bool,
     ):
         self.gate: gate_lib.Gate | None = None
@@ -54,39 +56,39 @@
         self._lineage = lineage
         self._policy_of = policy_of
         self._recorder = recorder
-        self._beliefs = beliefs
+        self._reports = reports
         self._refusals_lower_slots = refusals_lower_slots
 
     async def run(
         self, attempt: calls.Attempt, nonce: str | None
     ) -> outcomes.Answer:
-        """Hands an attempt over, and gives its slot back afterwards.
+        """Hands an attempt over and returns its slot afterwards.
 
         Args:
-            attempt: What to run.
-            nonce: Idempotency key of what must not repeat.
+            attempt: The attempt to run.
+            nonce: Idempotency key of a request that must not run twice.
         """
         gate = self.gate
-        assert gate is not None, "it gave the slot"
+        assert gate is not None, "the attempt has a slot of the gate"
         started_s = time.monotonic()
         self.handed_over += 1
-        self._note_begin(attempt, started_s)
+        self._record_start(attempt, started_s)
         answer: outcomes.Answer | None = None
         try:
             answer = await self._to_backend(attempt, nonce, started_s)
         finally:
             service_s = time.monotonic() - started_s
-            self._note_end(gate, answer, service_s)
-            self._quarantine.ended(attempt, answer)
+            self._record_end(gate, answer, service_s)
+            self._quarantine.on_end(attempt, answer)
             served = answer is not None and answer.reason is None
             class_name = attempt.context.class_name if served else ""
             gate.leave(service_s, class_name)
             if self._lineage is not None:
-                self._lineage.run_left(attempt)
+                self._lineage.on_run_end(attempt)
         if self._lineage is not None:
-            answer = self._lineage.run_ended(attempt, started_s, answer)
+            answer = self._lineage.on_run_answer(attempt, started_s, answer)
         if answer.reason is outcomes.Reason.LOST_ANSWER:
-            await self._quarantine.watch.lost(attempt)
+            await self._quarantine.crash_detector.on_lost_answer(attempt)
         record(
             self._recorder,
             "call.answered",
@@ -99,7 +101,7 @@
         )
         return answer
 
-    def _note_begin(self, attempt: calls.Attempt, started_s: float) -> None:
+    def _record_start(self, attempt: calls.Attempt, started_s: float) -> None:
         self._recorder.note(
             time.time(),
             "call.handed-over",
@@ -110,9 +112,9 @@
         self._availability.stalls.on_sent(started_s)
         announced = self._availability.announcement
         address = announced.address if announced else ""
-        self._quarantine.watch.began(attempt, address, started_s)
+        self._quarantine.crash_detector.on_start(attempt, address, started_s)
         if self._lineage is not None:
-            self._lineage.run_began(attempt)
+            self._lineage.on_run_start(attempt)
 
     async def _to_backend(
         self, attempt: calls.Attempt, nonce: str | None, started_s: float
@@ -129,18 +131,18 @@
         notice = answer.notice
         if notice is None:
             return answer
-        # Nearly always there is nothing to learn.
-        if notice is not self_reports.NO_NOTICE or not self._beliefs.is_plain:
-            self._beliefs.answered(notice, announced.incarnation, started_s)
+        # Nearly all answers carry no self report that changes anything.
+        if notice is not self_reports.NO_NOTICE or not self._reports.is_plain:
+            self._reports.on_answer(notice, announced.incarnation, started_s)
         return answer
 
-    def _note_end(
+    def _record_end(
         self,
         gate: gate_lib.Gate,
         answer: outcomes.Answer | None,
         service_s: float,
     ) -> None:
-        """Learns from how a hand-over ended, while its slot is still held."""
+        """Records the outcome of a handover while its slot is still held."""
         if answer is None or answer.outcome is outcomes.Outcome.UNKNOWN:
             self._availability.stalls.on_abandoned()
             return
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/backends.py
@@ -28,7 +28,7 @@
         guard: guard_lib.Guard,
         exchange: exchange_lib.Exchange,
         recorder: timeline.Recorder,
-        timeout_s: float = backend_lib.SILENT_AFTER_S,
+        timeout_s: float = backend_lib.ANNOUNCEMENT_TIMEOUT_S,
         check_s: float = _CHECK_S,
     ):
         self._timeout_s = timeout_s
@@ -59,14 +59,14 @@
             planned: Whether the previous incarnation had announced that it
                 leaves.
         """
-        self._guard.begin_anew(planned)
+        self._guard.on_restart(planned)
 
     def publish(self) -> None:
         """Updates this node's member entry if the backend's state changed."""
         announced = self._guard.announcement
         service = announced.service if announced else ""
         slots = self._guard.slots
-        draining = not self._guard.takes_work
+        draining = not self._guard.accepts_work
         local = self._exchange.membership.local_member
         if (local.service, local.slots, local.draining) != (
             service,
@@ -100,5 +100,5 @@
                     service=announced.service,
                     silent_s=round(silent_s, 2),
                 )
-                self._guard.withdraw()
+                self._guard.clear_announcement()
                 self.publish()
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -198,7 +198,7 @@
         self._lineage = lineage_lib.Lineage(
             self._dispatcher.book, lambda: len(router.services())
         )
-        self._dispatcher.observer = self._lineage.call_ended
+        self._dispatcher.observer = self._lineage.on_call_answer
         return self._lineage
 
     def _guard_rules(self) -> availability.GuardRules:
@@ -265,7 +265,7 @@
                 self._route_watch,
                 self._incarnations,
                 heartbeats,
-                self._guard.beliefs,
+                self._guard.self_reports,
             )
         )
         exposition = exposition_lib.Exposition(
--- a/tests/crash_model.py
+++ b/tests/crash_model.py
@@ -93,11 +93,11 @@
         refusal = await self.quarantine.enter(attempt)
         if refusal is not None:
             return refusal
-        self.quarantine.watch.began(attempt, "", time.monotonic())
+        self.quarantine.crash_detector.on_start(attempt, "", time.monotonic())
         answer = await self._run(attempt)
-        self.quarantine.ended(attempt, answer)
+        self.quarantine.on_end(attempt, answer)
         if answer is _LOST:
-            await self.quarantine.watch.lost(attempt)
+            await self.quarantine.crash_detector.on_lost_answer(attempt)
         return answer
 
     async def _run(self, attempt: calls.Attempt) -> outcomes.Answer:
@@ -210,7 +210,7 @@
         """Tries one node after the other until the request has run."""
         self._ids += 1
         attempt = builders.an_attempt(f"r-{self._ids}", target=target)
-        suspect = quarantine_lib.crash_watch_lib.suspect_of(attempt.call)
+        suspect = quarantine_lib.crash_detector_lib.suspect_of(attempt.call)
         self._targets[suspect.fingerprint] = target
         sites = self.rng.sample(self.sites, len(self.sites))
         answer = _UNREACHABLE
