--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -173,7 +173,7 @@
         policy = self._policy
         recorder = timeline.Recorder(place.node_id, place.data_center, 1)
         keys = keyring.KeyRing([], open_ring=True)
-        attempts = attempts_lib.AttemptBook()
+        attempts = attempts_lib.AttemptTracker()
 
         def policy_of(service: str) -> policy_lib.Policy:
             return policy
--- a/packages/burdockfront-client/src/burdockfront_client/attempts.py
+++ b/packages/burdockfront-client/src/burdockfront_client/attempts.py
@@ -27,7 +27,7 @@
     deadline_s: float
 
 
-class AttemptBook:
+class AttemptTracker:
     """Open attempts by their id."""
 
     def __init__(self) -> None:
--- a/packages/burdockfront-client/src/burdockfront_client/embedded.py
+++ b/packages/burdockfront-client/src/burdockfront_client/embedded.py
@@ -63,7 +63,7 @@
         self._node_address = node_address
         self._keys = keyring_lib.KeyRing(peer_keys)
         self._policies: dict[str, policy_lib.Policy] = {}
-        self._attempts = attempts_lib.AttemptBook()
+        self._attempts = attempts_lib.AttemptTracker()
         self.dispatcher = dispatcher_lib.Dispatcher(
             name,
             data_center,
--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -168,7 +168,7 @@
     def _build_request_path(self) -> None:
         settings = self._settings
         policy_of = self._exchange.configuration.policy_of
-        self._attempts = attempts_lib.AttemptBook()
+        self._attempts = attempts_lib.AttemptTracker()
         self._dispatcher = dispatcher_lib.Dispatcher(
             settings.node_id,
             settings.data_center,
--- a/packages/burdockfront-node/src/burdockfront_node/daemon_parts.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon_parts.py
@@ -39,7 +39,7 @@
     guard: guard.Guard
     backends: backends.Backends
     dispatcher: dispatcher.Dispatcher
-    attempts: attempts.AttemptBook
+    attempts: attempts.AttemptTracker
     metrics: metrics.Metrics
     recorder: timeline.Recorder
     ready: asyncio.Event
--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -152,7 +152,7 @@
     """
 
     dispatcher: dispatcher.Dispatcher
-    attempts: attempts.AttemptBook
+    attempts: attempts.AttemptTracker
     policy_of: Callable[[str], policy_lib.Policy]
     recorder: timeline.Recorder
     refusal_of: Callable[[calls.Call], outcomes.Answer | None]
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -72,7 +72,7 @@
         node_id: str,
         ledger: ledger_lib.Ledger,
         dispatcher: dispatcher_lib.Dispatcher,
-        attempts: attempts_lib.AttemptBook,
+        attempts: attempts_lib.AttemptTracker,
         policy_of: Callable[[str], policy_lib.Policy],
         recorder: timeline.Recorder,
         wall_s: Callable[[], float],
--- a/packages/burdockfront-node/src/burdockfront_node/handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/handover.py
@@ -45,7 +45,7 @@
         self,
         peers: peers_lib.Peers,
         keys: keyring_lib.KeyRing,
-        attempts: attempts_lib.AttemptBook,
+        attempts: attempts_lib.AttemptTracker,
     ):
         self._peers = peers
         self._keys = keys
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -38,7 +38,7 @@
         self,
         dialect: surroundings.Dialect,
         incarnations: incarnations_lib.IncarnationTracker,
-        attempts: attempts_lib.AttemptBook,
+        attempts: attempts_lib.AttemptTracker,
     ):
         self._dialect = dialect
         self._incarnations = incarnations
--- a/tests/route_chain.py
+++ b/tests/route_chain.py
@@ -51,7 +51,7 @@
         )
         tools = base.Tools(
             builders.a_dispatcher(self.recorder),
-            attempts.AttemptBook(),
+            attempts.AttemptTracker(),
             policy.default,
             self.recorder,
             lambda call: None,
--- a/tests/unit/test_crashing_backend.py
+++ b/tests/unit/test_crashing_backend.py
@@ -58,7 +58,7 @@
         "n1",
         ledger.Ledger("n1", "b1", 1_000_000),
         builders.a_dispatcher(recorder),
-        attempts.AttemptBook(),
+        attempts.AttemptTracker(),
         policy.default,
         recorder,
         time.time,
--- a/tests/unit/test_guard.py
+++ b/tests/unit/test_guard.py
@@ -26,7 +26,7 @@
         "n1",
         ledger.Ledger("n1", "b1", 1_000_000),
         dispatcher,
-        attempts.AttemptBook(),
+        attempts.AttemptTracker(),
         policy.default,
         recorder,
         time.time,
--- a/tests/unit/test_routed_guard.py
+++ b/tests/unit/test_routed_guard.py
@@ -88,7 +88,7 @@
         "n1",
         ledger.Ledger("n1", "b1", 1_000_000),
         dispatcher,
-        attempts.AttemptBook(),
+        attempts.AttemptTracker(),
         policy.default,
         recorder,
         time.time,
