--- a/packages/burdockfront-client/src/burdockfront_client/wire.py
+++ b/packages/burdockfront-client/src/burdockfront_client/wire.py
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldCall:
+class ReceivedCall:
     """What the headers of a call between nodes say.
 
     Attributes:
@@ -142,7 +142,7 @@
     return orjson.dumps(parts).decode("latin-1")
 
 
-def read_call(headers: Iterable[tuple[str, str]]) -> ToldCall:
+def read_call(headers: Iterable[tuple[str, str]]) -> ReceivedCall:
     """Reads the headers of a call.
 
     Args:
@@ -182,7 +182,7 @@
     report = None
     if len(rest) > 1:
         report = self_reports.from_parts(rest[1])
-    return ToldCall(context, stamp, mark, ticket, tuple(kept), report)
+    return ReceivedCall(context, stamp, mark, ticket, tuple(kept), report)
 
 
 def restore_id(
