--- a/packages/burdockfront-client/src/burdockfront_client/calls.py
+++ b/packages/burdockfront-client/src/burdockfront_client/calls.py
@@ -113,7 +113,7 @@
     told: self_reports.SelfReport | None = None
 
 
-class Fate(enum.Enum):
+class Delivery(enum.Enum):
     """What is known of an attempt.
 
     `UNREACHED` proves that nothing was handed over; `LOST` proves nothing.
@@ -128,7 +128,7 @@
 class Sent:
     """The fate of an attempt, with its answer if there is one."""
 
-    fate: Fate
+    delivery: Delivery
     answer: outcomes.Answer | None = None
 
 
--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -172,11 +172,11 @@
         """
         ticket = self.mint_for(target)
         sent = await self._send(call, target, ticket)
-        asked = sent.fate is calls.Fate.LOST
-        while sent.fate is not calls.Fate.ANSWERED and asked:
+        asked = sent.delivery is calls.Delivery.LOST
+        while sent.delivery is not calls.Delivery.ANSWERED and asked:
             if not self._verdicts.may_retry(call, progress):
                 unknown = outcomes.unknown(outcomes.Reason.LOST_ANSWER)
-                return calls.Sent(calls.Fate.ANSWERED, unknown)
+                return calls.Sent(calls.Delivery.ANSWERED, unknown)
             sent = await self._send(call, target, ticket)
         return sent
 
@@ -319,5 +319,5 @@
 def _fate_of(sent: calls.Sent) -> str:
     """Returns in a word what became of an attempt, for logs."""
     if sent.answer is None:
-        return sent.fate.value
+        return sent.delivery.value
     return sent.answer.reason or sent.answer.outcome
--- a/packages/burdockfront-client/src/burdockfront_client/verdicts.py
+++ b/packages/burdockfront-client/src/burdockfront_client/verdicts.py
@@ -111,7 +111,7 @@
         self, call: calls.Call, sent: calls.Sent, progress: Progress
     ) -> outcomes.Answer | None:
         """Returns the final answer, or None when the call goes on."""
-        if sent.fate is calls.Fate.UNREACHED:
+        if sent.delivery is calls.Delivery.UNREACHED:
             refusal = outcomes.not_run(
                 outcomes.Reason.UNREACHABLE, admission.RETRY_AFTER_S
             )
@@ -228,7 +228,7 @@
 def may_have_arrived(sent: calls.Sent) -> bool:
     """Whether an attempt may have reached a backend server."""
     if sent.answer is None:
-        return sent.fate is calls.Fate.LOST
+        return sent.delivery is calls.Delivery.LOST
     if sent.answer.outcome is outcomes.Outcome.NOT_RUN:
         return sent.answer.reason in _BACKEND_REFUSALS
     return True
