--- a/packages/burdockfront-client/src/burdockfront_client/calls.py
+++ b/packages/burdockfront-client/src/burdockfront_client/calls.py
@@ -125,7 +125,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Sent:
+class AttemptResult:
     """The fate of an attempt, with its answer if there is one."""
 
     delivery: Delivery
--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -162,7 +162,7 @@
         call: calls.Call,
         target: guards.Target,
         progress: verdicts.Progress,
-    ) -> calls.Sent:
+    ) -> calls.AttemptResult:
         """Sends a call that must not repeat, with a ticket of our own.
 
         Nobody else can have used this ticket, so its owner's refusal proves
@@ -176,7 +176,7 @@
         while sent.delivery is not calls.Delivery.ANSWERED and asked:
             if not self._verdicts.may_retry(call, progress):
                 unknown = outcomes.unknown(outcomes.Reason.LOST_ANSWER)
-                return calls.Sent(calls.Delivery.ANSWERED, unknown)
+                return calls.AttemptResult(calls.Delivery.ANSWERED, unknown)
             sent = await self._send(call, target, ticket)
         return sent
 
@@ -223,7 +223,7 @@
         call: calls.Call,
         target: guards.Target,
         ticket: tickets.Ticket | None,
-    ) -> calls.Sent:
+    ) -> calls.AttemptResult:
         policy = self._policy_of(call.service)
         timeout_s = max(
             verdicts.MIN_REMAINING_S, call.deadline_s - time.monotonic()
@@ -316,7 +316,7 @@
     return limit_s
 
 
-def _fate_of(sent: calls.Sent) -> str:
+def _fate_of(sent: calls.AttemptResult) -> str:
     """Returns in a word what became of an attempt, for logs."""
     if sent.answer is None:
         return sent.delivery.value
--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -93,7 +93,7 @@
         timeout_s: float,
         overdue_s: float,
         limit_bytes: int,
-    ) -> calls.Sent:
+    ) -> calls.AttemptResult:
         """Sends one attempt and waits for its answer.
 
         Args:
@@ -124,12 +124,12 @@
         except peers_lib.UnreachableError:
             call.pool.return_unused(attempt_id, attempt.context.allowance)
             self._unanswered(call, target, unreachable=True)
-            return calls.Sent(calls.Delivery.UNREACHED)
+            return calls.AttemptResult(calls.Delivery.UNREACHED)
         except errors.DispatchError:
             call.pool.write_off(attempt_id)
             self._counters.lost += 1
             self._unanswered(call, target, unreachable=False)
-            return calls.Sent(calls.Delivery.LOST)
+            return calls.AttemptResult(calls.Delivery.LOST)
         except asyncio.CancelledError:
             call.pool.write_off(attempt_id)
             self._router.record_cancelled(target.node_id)
@@ -140,7 +140,7 @@
         call.pool.return_unused(attempt_id, answer.unspent)
         now_s = time.monotonic()
         self.feedback.learn(call, target, answer, now_s - started_s, now_s)
-        return calls.Sent(calls.Delivery.ANSWERED, answer)
+        return calls.AttemptResult(calls.Delivery.ANSWERED, answer)
 
     def _attempt_of(
         self,
--- a/packages/burdockfront-client/src/burdockfront_client/verdicts.py
+++ b/packages/burdockfront-client/src/burdockfront_client/verdicts.py
@@ -108,7 +108,7 @@
         ratio.first_try(time.monotonic(), call.context.repeated)
 
     def judge(
-        self, call: calls.Call, sent: calls.Sent, progress: Progress
+        self, call: calls.Call, sent: calls.AttemptResult, progress: Progress
     ) -> outcomes.Answer | None:
         """Returns the final answer, or None when the call goes on."""
         if sent.delivery is calls.Delivery.UNREACHED:
@@ -225,7 +225,7 @@
     return outcomes.unknown(reason, answer.retry_after_s)
 
 
-def may_have_arrived(sent: calls.Sent) -> bool:
+def may_have_arrived(sent: calls.AttemptResult) -> bool:
     """Whether an attempt may have reached a backend server."""
     if sent.answer is None:
         return sent.delivery is calls.Delivery.LOST
