--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -325,7 +325,7 @@
         arrivals=0,
     )
     return calls.Attempt(
-        call, dataclasses.replace(context), attempt.ticket, attempt.told
+        call, dataclasses.replace(context), attempt.ticket, attempt.received
     )
 
 
--- a/packages/burdockfront-client/src/burdockfront_client/calls.py
+++ b/packages/burdockfront-client/src/burdockfront_client/calls.py
@@ -104,13 +104,13 @@
         call: The call.
         context: Its context, for this try.
         ticket: Ticket of a call that must not repeat.
-        told: What its sender last heard of the guard's backend server.
+        received: What its sender last heard of the guard's backend server.
     """
 
     call: Call
     context: context_lib.RequestContext
     ticket: tickets.Ticket | None
-    told: self_reports.SelfReport | None = None
+    received: self_reports.SelfReport | None = None
 
 
 class Delivery(enum.Enum):
--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -108,7 +108,7 @@
         attempt = self._attempt_of(call, ticket, timeout_s)
         heard = self.feedback.reports.by_node
         if target.node_id in heard:
-            attempt.told = heard[target.node_id]
+            attempt.received = heard[target.node_id]
         attempt_id = attempt.context.attempt_id
         self._counters.attempts += 1
         self._router.record_sent(target.node_id)
@@ -219,7 +219,10 @@
         return [
             *call.headers,
             (wire.CONTEXT, self._encoded(attempt.context, call.headers)),
-            (wire.CALL, wire.encode_call(stamp, mark, ticket, attempt.told)),
+            (
+                wire.CALL,
+                wire.encode_call(stamp, mark, ticket, attempt.received),
+            ),
         ]
 
     def _encoded(
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -226,8 +226,8 @@
 
     async def handle(self, attempt: calls.Attempt) -> outcomes.Answer:
         """Serves one attempt, from the network or from this node."""
-        if attempt.told is not None:
-            self.beliefs.told(attempt.told)
+        if attempt.received is not None:
+            self.beliefs.told(attempt.received)
         if self._lineage is not None:
             attempt = self._lineage.classify(attempt)
         if attempt.ticket is not None:
@@ -380,8 +380,8 @@
         context = attempt.context
         answer.level = self._told_level(context, answer)
         answer.report = None
-        if attempt.told is not None or not self.beliefs.is_plain:
-            answer.report = self.beliefs.report_to(attempt.told)
+        if attempt.received is not None or not self.beliefs.is_plain:
+            answer.report = self.beliefs.report_to(attempt.received)
         answer.load = self.load()
         answer.draining = not self.takes_work or self.announcement is None
         answer.nested_call = context.depth > 0
--- a/tests/unit/test_limited_guards.py
+++ b/tests/unit/test_limited_guards.py
@@ -133,7 +133,7 @@
         received = []
 
         def serve(attempt: calls.Attempt) -> outcomes.Answer:
-            received.append(attempt.told)
+            received.append(attempt.received)
             answer = builders.an_answer()
             answer.report = _REPORT
             return answer
