--- a/packages/burdockfront-client/src/burdockfront_client/calls.py
+++ b/packages/burdockfront-client/src/burdockfront_client/calls.py
@@ -70,7 +70,7 @@
         return self.method in policy.IDEMPOTENT_METHODS
 
 
-def deeper_call(
+def nested_call(
     parent: attempts.OpenAttempt,
     service: str,
     method: str,
--- a/packages/burdockfront-client/src/burdockfront_client/embedded.py
+++ b/packages/burdockfront-client/src/burdockfront_client/embedded.py
@@ -172,7 +172,7 @@
             with contextlib.suppress(errors.DispatchError):
                 await self._router.refresh()
         policy = self._router.policy_of(service)
-        call = calls.deeper_call(
+        call = calls.nested_call(
             self._attempt,
             service,
             method,
--- a/packages/burdockfront-node/src/burdockfront_node/filters/identify.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/identify.py
@@ -79,7 +79,7 @@
         policy = entry.policy
         assert policy is not None
         entry.parent = self._tools.attempts.parent_of(given)
-        entry.call = calls.deeper_call(
+        entry.call = calls.nested_call(
             entry.parent,
             entry.service,
             entry.request.method,
