--- a/packages/burdockfront-client/src/burdockfront_client/calls.py
+++ b/packages/burdockfront-client/src/burdockfront_client/calls.py
@@ -14,7 +14,7 @@
 from burdockfront_client import attempts
 
 # More than any service has: no bound.
-MANY_BACKENDS = 1_000_000
+UNLIMITED_BACKENDS = 1_000_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -38,7 +38,7 @@
         target_s: An answer that takes longer is late, though of use.
         parent_class: Class of the request that it is made for; empty if that
             is not known.
-        most_backends: Backend servers that it may be handed to.
+        max_backends: Backend servers that it may be handed to.
         trail: What became of each attempt so far, for logs.
         arrivals: Attempts that a backend server was handed, or may have been.
     """
@@ -58,7 +58,7 @@
     account: str = ""
     target_s: float = math.inf
     parent_class: str = ""
-    most_backends: int = MANY_BACKENDS
+    max_backends: int = UNLIMITED_BACKENDS
     trail: list[str] = dataclasses.field(default_factory=list)
     arrivals: int = 0
 
--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -249,7 +249,7 @@
             return outcomes.not_run(
                 outcomes.Reason.DEADLINE, admission.RETRY_AFTER_S
             )
-        if len(progress.handed) >= call.most_backends:
+        if len(progress.handed) >= call.max_backends:
             return self._choose_again(call, progress)
         tried = frozenset(progress.tried)
         class_name = call.context.class_name
--- a/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
@@ -114,7 +114,7 @@
             host=entry.host,
             origin_service=self._origin_service,
             target_s=route.target_latency_s,
-            most_backends=route.max_attempts,
+            max_backends=route.max_attempts,
             parent_class=parent.class_name if parent is not None else "",
             account=account.name if account is not None else "",
         )
