--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -205,9 +205,9 @@
 
     def _headers(self, attempt: calls.Attempt) -> list[tuple[str, str]]:
         call = attempt.call
-        mark = wire.Mark()
+        metadata = wire.CallMetadata()
         if call.host:
-            mark = wire.Mark(
+            metadata = wire.CallMetadata(
                 call.idempotent, call.host, call.origin_service, call.account
             )
         # Not under the callers' own name for it: their header travels on as
@@ -221,7 +221,7 @@
             (wire.CONTEXT, self._encoded(attempt.context, call.headers)),
             (
                 wire.CALL,
-                wire.encode_call(stamp, mark, ticket, attempt.received),
+                wire.encode_call(stamp, metadata, ticket, attempt.received),
             ),
         ]
 
--- a/packages/burdockfront-client/src/burdockfront_client/wire.py
+++ b/packages/burdockfront-client/src/burdockfront_client/wire.py
@@ -81,7 +81,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mark:
+class CallMetadata:
     """What the entry says of a call besides its context.
 
     Attributes:
@@ -104,7 +104,7 @@
     Attributes:
         context: Signed context.
         stamp: The asking node's clock.
-        mark: What the entry says besides.
+        metadata: What the entry says besides.
         ticket: Ticket of a call that must not repeat; empty if it may.
         headers: The caller's own headers, which travel on.
         report: What the asking node last heard of the backend server.
@@ -112,7 +112,7 @@
 
     context: str
     stamp: int
-    mark: Mark
+    metadata: CallMetadata
     ticket: str
     headers: tuple[tuple[str, str], ...]
     report: self_reports.SelfReport | None = None
@@ -120,7 +120,7 @@
 
 def encode_call(
     stamp: int,
-    mark: Mark,
+    metadata: CallMetadata,
     ticket: str,
     report: self_reports.SelfReport | None = None,
 ) -> str:
@@ -128,15 +128,15 @@
 
     Args:
         stamp: The asking node's clock.
-        mark: What the entry says of the call.
+        metadata: What the entry says of the call.
         ticket: Ticket of a call that must not repeat; empty if it may.
         report: What the asking node last heard of the backend server.
     """
     parts: list[object]
-    parts = [stamp, mark.repeatable, mark.origin_service, ticket]
-    if mark.account or report is not None:
+    parts = [stamp, metadata.repeatable, metadata.origin_service, ticket]
+    if metadata.account or report is not None:
         # Nodes of releases that know no accounts take four parts.
-        parts.append(mark.account)
+        parts.append(metadata.account)
     if report is not None:
         parts.append(report.to_parts())
     return orjson.dumps(parts).decode("latin-1")
@@ -175,14 +175,14 @@
             f"nodes must run compatible releases."
         ) from None
     # Without routes the host of a call is only the address of the guard.
-    mark = Mark()
+    metadata = CallMetadata()
     if repeatable is not None:
         account = rest[0] if rest else ""
-        mark = Mark(repeatable, host, origin_service, account)
+        metadata = CallMetadata(repeatable, host, origin_service, account)
     report = None
     if len(rest) > 1:
         report = self_reports.from_parts(rest[1])
-    return ReceivedCall(context, stamp, mark, ticket, tuple(kept), report)
+    return ReceivedCall(context, stamp, metadata, ticket, tuple(kept), report)
 
 
 def restore_id(
--- a/packages/burdockfront-node/src/burdockfront_node/internal_app.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal_app.py
@@ -101,10 +101,10 @@
             context=context,
             deadline_s=request.arrived_s + context.remaining_s,
             pool=calls.allowance.AllowancePool(context.allowance),
-            repeatable=told.mark.repeatable,
-            host=told.mark.host,
-            origin_service=told.mark.origin_service,
-            account=told.mark.account,
+            repeatable=told.metadata.repeatable,
+            host=told.metadata.host,
+            origin_service=told.metadata.origin_service,
+            account=told.metadata.account,
         )
         return calls.Attempt(call, context, ticket, told.report)
 
--- a/tests/unit/test_self_reports.py
+++ b/tests/unit/test_self_reports.py
@@ -24,7 +24,9 @@
 
 @pytest.mark.parametrize("report", [_LIMITED, _LEAVING])
 def test_report_is_encoded_in_calls_and_answers(report):
-    described = wire.encode_call(7, wire.Mark(True, "shop", "fees"), "", report)
+    described = wire.encode_call(
+        7, wire.CallMetadata(True, "shop", "fees"), "", report
+    )
     received = wire.read_call([(wire.CALL, described), ("host", "shop")])
     assert received.report == report
     answer = builders.an_answer()
@@ -35,7 +37,7 @@
 
 
 def test_calls_and_answers_without_a_report_carry_no_extra_fields():
-    assert len(wire.encode_call(7, wire.Mark(), "")) < 20
+    assert len(wire.encode_call(7, wire.CallMetadata(), "")) < 20
     described = wire.encode_answer(builders.an_answer(), "a", 7)
     read, _ = wire.decode_answer(described, "a", 200, (), b"")
     assert read.report is None
