--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -191,7 +191,7 @@
         )
         router = self.dispatcher.router
         lineage = lineage_lib.Lineage(
-            self.dispatcher.book, lambda: len(router.services())
+            self.dispatcher.level_tracker, lambda: len(router.services())
         )
         self.dispatcher.observer = lineage.call_ended
         ready = asyncio.Event()
--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -60,13 +60,13 @@
         self.observer: Callable[[calls.Call, outcomes.Answer], None] | None
         self.observer = None
         self.router = routing.Router(data_center, rng)
-        self.book = levels.LevelTracker()
+        self.level_tracker = levels.LevelTracker()
         self.counters = calls.Counters()
         self.sender = sender_lib.Sender(
             node_id,
             keys,
             self.router,
-            self.book,
+            self.level_tracker,
             recorder,
             self.counters,
             source_ip,
@@ -125,7 +125,7 @@
             # Only calls of our own backend server lie below its requests. A
             # request that merely enters here would pull the level of its
             # service into that of another one.
-            self.book.record_call(
+            self.level_tracker.record_call(
                 call.context.class_name, call.service, time.monotonic()
             )
         if not self.router.targets_of(call.service):
@@ -289,7 +289,9 @@
         context = call.context
         if context.depth > 0:
             return False
-        level = self.book.level_of(call.service, context.class_name, now_s)
+        level = self.level_tracker.level_of(
+            call.service, context.class_name, now_s
+        )
         return context.priority > level + levels.ENTRY_SLACK
 
     def _no_target(
--- a/packages/burdockfront-client/src/burdockfront_client/embedded.py
+++ b/packages/burdockfront-client/src/burdockfront_client/embedded.py
@@ -185,7 +185,7 @@
 
     def headers(self) -> list[tuple[str, str]]:
         """Returns headers that the guard wants with the answer."""
-        level = self._router.dispatcher.book.path_level(
+        level = self._router.dispatcher.level_tracker.path_level(
             self._attempt.context.class_name, time.monotonic()
         )
         return [
--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -31,7 +31,7 @@
 
     Args:
         router: Learns who answered, how fast, and what is limited.
-        book: Learns the levels on answers.
+        level_tracker: Learns the levels on answers.
         recorder: Where events go.
         counters: What was done so far.
 
@@ -43,14 +43,14 @@
     def __init__(
         self,
         router: routing.Router,
-        book: levels.LevelTracker,
+        level_tracker: levels.LevelTracker,
         recorder: timeline.Recorder,
         counters: calls.Counters,
     ):
         self.reports = self_reports.ReceivedReports()
         self.far_bytes: collections.Counter[str] = collections.Counter()
         self._router = router
-        self._book = book
+        self._level_tracker = level_tracker
         self._recorder = recorder
         self._counters = counters
 
@@ -89,7 +89,7 @@
         if answer.reason is outcomes.Reason.LIMITED:
             self._note_limited(target, answer, now_s)
         if answer.level is not None:
-            self._book.observe(
+            self._level_tracker.observe(
                 call.service,
                 call.context.class_name,
                 answer.level,
--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -42,7 +42,7 @@
         node_id: Name of this process, for attempt ids.
         keys: Keys that sign contexts and tickets.
         router: Learns who answered.
-        book: Learns the levels on answers.
+        level_tracker: Learns the levels on answers.
         recorder: Where events go.
         counters: What was done so far.
         source_ip: Own IP number that connections come from, if it matters.
@@ -56,7 +56,7 @@
         node_id: str,
         keys: keyring_lib.KeyRing,
         router: routing.Router,
-        book: levels.LevelTracker,
+        level_tracker: levels.LevelTracker,
         recorder: timeline.Recorder,
         counters: calls.Counters,
         source_ip: str | None,
@@ -67,7 +67,9 @@
         self.keys = keys
         self.local_guard: LocalGuard | None = None
         self.transport: Transport = self._over_network
-        self.feedback = feedback_lib.Feedback(router, book, recorder, counters)
+        self.feedback = feedback_lib.Feedback(
+            router, level_tracker, recorder, counters
+        )
         self._margin_s = 0.0 if waits_longer else _ANSWER_MARGIN_S
         self._node_id = node_id
         self._router = router
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/housekeeping.py
@@ -49,7 +49,7 @@
             await asyncio.sleep(_EVERY_S)
             self._guard.ledger.expire(self._wall_s())
             self._exchange.crash_news.book.forget(time.time())
-            self._dispatcher.book.remove_expired(time.monotonic())
+            self._dispatcher.level_tracker.remove_expired(time.monotonic())
             self._tell_ways()
             self._tell_control_cost()
 
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -321,7 +321,7 @@
         """Whether a new request is above the level of a deeper service."""
         if context.depth > 0:
             return False
-        path_level = self._dispatcher.book.path_level(
+        path_level = self._dispatcher.level_tracker.path_level(
             context.class_name, time.monotonic()
         )
         return context.priority > path_level
@@ -358,7 +358,7 @@
             reason=refusal.reason or "",
             priority=context.priority,
             level=self.level(),
-            path_level=self._dispatcher.book.path_level(
+            path_level=self._dispatcher.level_tracker.path_level(
                 context.class_name, time.monotonic()
             ),
             new_work=context.depth == 0,
@@ -401,7 +401,7 @@
         """
         if not self.takes_work:
             return None
-        path_level = self._dispatcher.book.path_level(
+        path_level = self._dispatcher.level_tracker.path_level(
             context.class_name, time.monotonic()
         )
         level = min(self.level(), path_level)
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -192,7 +192,7 @@
     def _new_lineage(self) -> lineage_lib.Lineage:
         router = self._dispatcher.router
         self._lineage = lineage_lib.Lineage(
-            self._dispatcher.book, lambda: len(router.services())
+            self._dispatcher.level_tracker, lambda: len(router.services())
         )
         self._dispatcher.observer = self._lineage.call_ended
         return self._lineage
