--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -187,7 +187,7 @@
             _TICKET_S,
             self._rng,
             retry_burst=self._retry_burst,
-            waits_longer=True,
+            waits_past_deadline=True,
         )
         router = self.dispatcher.router
         lineage = lineage_lib.Lineage(
--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -40,7 +40,7 @@
         rng: Source of randomness.
         source_ip: Own IP number that connections come from, if it matters.
         retry_burst: Retries of a service that may be saved up here.
-        waits_longer: See `sender.Sender`.
+        waits_past_deadline: See `sender.Sender`.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         rng: random.Random,
         source_ip: str | None = None,
         retry_burst: float = allowance_lib.DEFAULT_BURST,
-        waits_longer: bool = False,
+        waits_past_deadline: bool = False,
     ):
         # Learns from final answers, where contexts do not travel.
         self.observer: Callable[[calls.Call, outcomes.Answer], None] | None
@@ -70,7 +70,7 @@
             recorder,
             self.counters,
             source_ip,
-            waits_longer,
+            waits_past_deadline,
         )
         self._node_id = node_id
         self._policy_of = policy_of
--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -46,7 +46,7 @@
         recorder: Where events go.
         counters: What was done so far.
         source_ip: Own IP number that connections come from, if it matters.
-        waits_longer: The guard gets all the time that is left, and its answer
+        waits_past_deadline: The guard gets all the time that is left, and its answer
             is waited for a little beyond it. Otherwise it gets a little less:
             where contexts travel, each layer may take that off once more.
     """
@@ -60,7 +60,7 @@
         recorder: timeline.Recorder,
         counters: calls.Counters,
         source_ip: str | None,
-        waits_longer: bool = False,
+        waits_past_deadline: bool = False,
     ):
         self.peers = peers_lib.Peers(source_ip)
         self.link = call_link.CallLink(source_ip)
@@ -70,7 +70,7 @@
         self.feedback = feedback_lib.Feedback(
             router, level_tracker, recorder, counters
         )
-        self._margin_s = 0.0 if waits_longer else _ANSWER_MARGIN_S
+        self._margin_s = 0.0 if waits_past_deadline else _ANSWER_MARGIN_S
         self._node_id = node_id
         self._router = router
         self._recorder = recorder
--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -179,7 +179,7 @@
             self._rng,
             self._source_ip,
             self._retry_burst(),
-            waits_longer=settings.routed is not None,
+            waits_past_deadline=settings.routed is not None,
         )
         self._quarantine = quarantine_lib.Quarantine(
             self._boot_id,
--- a/tests/unit/test_route_filter.py
+++ b/tests/unit/test_route_filter.py
@@ -64,7 +64,7 @@
         recorder,
         calls.Counters(),
         None,
-        waits_longer=True,
+        waits_past_deadline=True,
     )
     attempt = sender._attempt_of(call, None, call.context.remaining_s)
     return attempt.context.remaining_s
