--- a/packages/burdockfront-client/src/burdockfront_client/call_link.py
+++ b/packages/burdockfront-client/src/burdockfront_client/call_link.py
@@ -78,7 +78,7 @@
                 f"{error} Check that the process runs: 'show members'."
             ) from None
         except connection_lib.AnswerLateError as error:
-            pool.forget()
+            pool.close_idle()
             self.retired += 1
             raise peers_lib.LostAnswerError(
                 f"{address}: {error} Its idle connections were closed. See "
@@ -92,5 +92,5 @@
     def close(self) -> None:
         """Closes idle connections."""
         for pool in self._pools.values():
-            pool.forget()
+            pool.close_idle()
         self._pools.clear()
--- a/packages/burdockfront-client/src/burdockfront_client/pool.py
+++ b/packages/burdockfront-client/src/burdockfront_client/pool.py
@@ -108,7 +108,7 @@
             self._idle.append(connection)
         return answer
 
-    def forget(self) -> None:
+    def close_idle(self) -> None:
         """Closes idle connections: another server may have the address."""
         for connection in self._idle:
             connection.close()
@@ -117,7 +117,7 @@
     def retire(self) -> None:
         """Closes idle connections now, and each other one when it is idle."""
         self._retired = True
-        self.forget()
+        self.close_idle()
 
     def _take(self, fresh: bool) -> connection_lib.Connection | None:
         now_s = asyncio.get_running_loop().time()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -118,5 +118,5 @@
             )
             return None
         finally:
-            pool.forget()
+            pool.close_idle()
         return self._dialect.health_of(answer)
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -107,7 +107,7 @@
         wanted = (address, current.instance_id, current.born_ms)
         if self._pool is None or known != wanted:
             if self._pool is not None:
-                self._pool.forget()
+                self._pool.close_idle()
             self._pool = pool_lib.Pool(address)
             self._address = address
             self._instance_id = current.instance_id
