--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -1,6 +1,6 @@
 """Brings one call to an answer: choose, send, retry within the allowance.
 
-What follows after an attempt is decided by `verdicts`.
+What follows after an attempt is decided by `retry_decisions`.
 """
 
 import random
@@ -19,8 +19,8 @@
 from burdockfront import tickets
 from burdockfront import timeline
 from burdockfront_client import calls
+from burdockfront_client import retry_decisions
 from burdockfront_client import sender as sender_lib
-from burdockfront_client import verdicts
 
 # A call of a backend server is one of several that a request makes, one after
 # the other, as a rule; no single one may take all the time that is left.
@@ -76,18 +76,18 @@
         self._policy_of = policy_of
         self._ticket_lifetime_s = ticket_lifetime_s
         self._rng = rng
-        self._verdicts = verdicts.Verdicts(
+        self._retry_decisions = retry_decisions.RetryDecisions(
             policy_of, self.counters, retry_burst
         )
 
     @property
     def services_remembered(self) -> int:
         """Services that this process keeps a retry ratio for."""
-        return self._verdicts.services_remembered
+        return self._retry_decisions.services_remembered
 
     def set_retry_burst(self, burst: float) -> None:
         """Takes how many retries of a service may be spent unearned."""
-        self._verdicts.set_retry_burst(burst)
+        self._retry_decisions.set_retry_burst(burst)
 
     def new_id(self) -> str:
         """Returns an id that no other process uses."""
@@ -130,38 +130,40 @@
             )
         if not self.router.targets_of(call.service):
             # Nothing may be kept for it: callers can make up names for ever.
-            progress = verdicts.Progress(lost=call.ticket is not None)
-            return verdicts.honest(self._no_target(call, progress), progress)
-        self._verdicts.first_try(call)
+            progress = retry_decisions.Progress(lost=call.ticket is not None)
+            return retry_decisions.honest(
+                self._no_target(call, progress), progress
+            )
+        self._retry_decisions.first_try(call)
         if call.ticket is not None:
             return await self._call_owner(call, call.ticket)
         return await self._call_anyone(call)
 
     async def _call_anyone(self, call: calls.Call) -> outcomes.Answer:
         """A call that any guard may take, one of them at a time."""
-        progress = verdicts.Progress()
+        progress = retry_decisions.Progress()
         while True:
             target = self._choose(call, progress)
             if isinstance(target, outcomes.Answer):
-                return verdicts.honest(target, progress)
+                return retry_decisions.honest(target, progress)
             progress.tried.add(target.node_id)
             progress.last = target
             if call.idempotent:
                 sent = await self._send(call, target, None)
             else:
                 sent = await self._send_once(call, target, progress)
-            if verdicts.may_have_arrived(sent):
+            if retry_decisions.may_have_arrived(sent):
                 call.arrivals += 1
                 progress.handed.add(target.node_id)
-            final = self._verdicts.judge(call, sent, progress)
+            final = self._retry_decisions.judge(call, sent, progress)
             if final is not None:
-                return verdicts.honest(final, progress)
+                return retry_decisions.honest(final, progress)
 
     async def _send_once(
         self,
         call: calls.Call,
         target: guards.Target,
-        progress: verdicts.Progress,
+        progress: retry_decisions.Progress,
     ) -> calls.AttemptResult:
         """Sends a call that must not repeat, with a ticket of our own.
 
@@ -174,7 +176,7 @@
         sent = await self._send(call, target, ticket)
         asked = sent.delivery is calls.Delivery.LOST
         while sent.delivery is not calls.Delivery.ANSWERED and asked:
-            if not self._verdicts.may_retry(call, progress):
+            if not self._retry_decisions.may_retry(call, progress):
                 unknown = outcomes.unknown(outcomes.Reason.LOST_ANSWER)
                 return calls.AttemptResult(calls.Delivery.ANSWERED, unknown)
             sent = await self._send(call, target, ticket)
@@ -188,7 +190,7 @@
         Nothing but the owner's word proves `not-run` here: an earlier
         attempt with the same ticket may be running at the owner.
         """
-        progress = verdicts.Progress()
+        progress = retry_decisions.Progress()
         moves = 1 + self._policy_of(call.service).retry.reroutes
         for _ in range(moves):
             owner = self.router.find(call.service, ticket.owner)
@@ -207,13 +209,13 @@
         call: calls.Call,
         owner: guards.Target,
         ticket: tickets.Ticket,
-        progress: verdicts.Progress,
+        progress: retry_decisions.Progress,
     ) -> outcomes.Answer:
         while True:
             sent = await self._send(call, owner, ticket)
             if sent.answer is not None:
                 return sent.answer
-            if not self._verdicts.may_retry(call, progress):
+            if not self._retry_decisions.may_retry(call, progress):
                 return outcomes.unknown(
                     outcomes.Reason.LOST_ANSWER, admission.RETRY_AFTER_S
                 )
@@ -226,7 +228,7 @@
     ) -> calls.AttemptResult:
         policy = self._policy_of(call.service)
         timeout_s = max(
-            verdicts.MIN_REMAINING_S, call.deadline_s - time.monotonic()
+            retry_decisions.MIN_REMAINING_S, call.deadline_s - time.monotonic()
         )
         if ticket is None:
             timeout_s = min(timeout_s, policy.attempt_timeout_s)
@@ -242,10 +244,10 @@
         return sent
 
     def _choose(
-        self, call: calls.Call, progress: verdicts.Progress
+        self, call: calls.Call, progress: retry_decisions.Progress
     ) -> guards.Target | outcomes.Answer:
         now_s = time.monotonic()
-        if call.deadline_s - now_s <= verdicts.MIN_REMAINING_S:
+        if call.deadline_s - now_s <= retry_decisions.MIN_REMAINING_S:
             return outcomes.not_run(
                 outcomes.Reason.DEADLINE, admission.RETRY_AFTER_S
             )
@@ -274,7 +276,7 @@
         return target
 
     def _choose_again(
-        self, call: calls.Call, progress: verdicts.Progress
+        self, call: calls.Call, progress: retry_decisions.Progress
     ) -> guards.Target | outcomes.Answer:
         """Returns the guard asked last: no further one may be handed it."""
         last = progress.last
@@ -295,7 +297,7 @@
         return context.priority > level + levels.ENTRY_SLACK
 
     def _no_target(
-        self, call: calls.Call, progress: verdicts.Progress
+        self, call: calls.Call, progress: retry_decisions.Progress
     ) -> outcomes.Answer:
         if progress.refusal is not None:
             return progress.refusal
--- a/packages/burdockfront-client/src/burdockfront_client/verdicts.py
+++ b/packages/burdockfront-client/src/burdockfront_client/retry_decisions.py
@@ -69,7 +69,7 @@
     refusal: outcomes.Answer | None = None
 
 
-class Verdicts:
+class RetryDecisions:
     """What follows after attempts, within the bounds of retries.
 
     Args:
--- a/tests/properties/test_retry_budget.py
+++ b/tests/properties/test_retry_budget.py
@@ -18,7 +18,7 @@
 from burdockfront import allowance
 
 _RATIO = 0.2
-# Share of the ratio that nodes use; see `verdicts`.
+# Share of the ratio that nodes use; see `retry_decisions`.
 _USED = 0.9
 _WINDOW_S = 10.0
 _STEP_S = 0.25
