--- a/packages/burdockfront-client/src/burdockfront_client/attempts.py
+++ b/packages/burdockfront-client/src/burdockfront_client/attempts.py
@@ -1,8 +1,8 @@
-"""Attempts that a backend server is working on, and calls made for them.
+"""Tracker of attempts that a backend server is processing.
 
-A backend server passes the context header on to its deeper calls. This book
-finds the attempt behind it: the allowance that is left and the time that has
-passed since the hand-over, neither of which the backend server has to track.
+A backend server copies the context header to its nested calls. The tracker
+maps that context to the open attempt, which holds the remaining allowance and
+the deadline, so the backend server has to track neither.
 """
 
 import dataclasses
@@ -14,12 +14,12 @@
 
 @dataclasses.dataclass(slots=True)
 class OpenAttempt:
-    """One attempt between hand-over and answer.
+    """One attempt that was handed to a backend server and is unanswered.
 
     Attributes:
         context: Context of the attempt.
-        pool: Allowance that its deeper calls may spend.
-        deadline_s: Monotonic time at which its answer is worthless.
+        pool: Allowance shared by the nested calls of the attempt.
+        deadline_s: Monotonic time after which the answer is of no use.
     """
 
     context: context_lib.RequestContext
@@ -28,7 +28,7 @@
 
 
 class AttemptTracker:
-    """Open attempts by their id."""
+    """Open attempts by attempt id."""
 
     def __init__(self) -> None:
         self._open: dict[str, OpenAttempt] = {}
@@ -37,7 +37,7 @@
         return len(self._open)
 
     def begin(self, context: context_lib.RequestContext) -> OpenAttempt:
-        """Opens an attempt with the allowance that came with it."""
+        """Opens an attempt with the allowance from its context."""
         attempt = OpenAttempt(
             context,
             allowance.AllowancePool(context.allowance),
@@ -47,15 +47,15 @@
         return attempt
 
     def end(self, attempt_id: str) -> None:
-        """Closes an attempt."""
+        """Closes an attempt; an id that is not open is ignored."""
         self._open.pop(attempt_id, None)
 
     def parent_of(self, context: context_lib.RequestContext) -> OpenAttempt:
-        """Returns the open attempt that a deeper call belongs to.
+        """Returns the open attempt that a nested call belongs to.
 
-        A context whose attempt is not open here (the backend server called
-        another node than its own, or after its answer) has no allowance: it
-        is accounted for elsewhere, or gone.
+        If no such attempt is open here, because the backend server called a
+        node other than its own or had already answered, the returned attempt
+        has no allowance: another node accounts for it, or the attempt is over.
         """
         attempt = self._open.get(context.attempt_id)
         if attempt is not None:
--- a/packages/burdockfront-client/src/burdockfront_client/calls.py
+++ b/packages/burdockfront-client/src/burdockfront_client/calls.py
@@ -1,4 +1,4 @@
-"""Calls and attempts, as the dispatcher and the guard exchange them."""
+"""Calls and attempts that the dispatcher and the guards exchange."""
 
 import dataclasses
 import enum
@@ -13,34 +13,40 @@
 from burdockfront import tickets
 from burdockfront_client import attempts
 
-# More than any service has: no bound.
+# Larger than the number of backend servers of any service, so no limit.
 UNLIMITED_BACKENDS = 1_000_000
 
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One call to a service, from an entry or from an upper layer.
+    """One call to a service, from an entry or nested in another request.
 
     Attributes:
-        service: Wanted service.
+        service: Name of the called service.
         method: HTTP method.
         target: Path and query below the service.
         headers: End-to-end headers.
-        body: The whole body.
+        body: The complete body.
         context: Context of this call, before any attempt.
-        deadline_s: Monotonic time at which the answer is worthless.
+        deadline_s: Monotonic time after which the answer is of no use.
         pool: Allowance that retries are taken from.
-        ticket: The caller's ticket, for a call that must not repeat.
-        repeatable: Whether repeating does no harm; None: judge by the method.
-        host: Host that the caller named, where the backend server wants it.
-        origin_service: Service beside which the request entered.
-        account: Client account whose request it is; empty for calls.
-        target_s: An answer that takes longer is late, though of use.
-        parent_class: Class of the request that it is made for; empty if that
-            is not known.
-        max_backends: Backend servers that it may be handed to.
-        trail: What became of each attempt so far, for logs.
-        arrivals: Attempts that a backend server was handed, or may have been.
+        ticket: The caller's ticket, for a call that must run at most once.
+        repeatable: Whether the call can safely be repeated; None derives this
+            from the method.
+        host: Host header of the caller, for backend servers that need it.
+        origin_service: Service beside whose backend server the request
+            entered.
+        account: Client account of the request; empty for calls of backend
+            servers.
+        target_s: Target latency in seconds; an answer that takes longer is
+            late, but still useful.
+        parent_class: Class of the request that the call is made for; empty if
+            unknown.
+        max_backends: Maximum number of backend servers that the call may be
+            handed to.
+        trail: Result of each attempt so far, for logs.
+        arrivals: Number of attempts that reached, or may have reached, a
+            backend server.
     """
 
     service: str
@@ -64,7 +70,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether repeating the call does no harm."""
+        """Whether the call can safely be repeated."""
         if self.repeatable is not None:
             return self.repeatable
         return self.method in policy.IDEMPOTENT_METHODS
@@ -77,15 +83,15 @@
     target: str,
     headers: tuple[tuple[str, str], ...],
     body: bytes,
-    longest_s: float,
+    max_duration_s: float,
 ) -> Call:
     """Returns a call that a backend server makes for an open attempt.
 
-    It inherits identity and priority, may spend what is left of the
-    attempt's allowance, and can't outlive the attempt.
+    The call inherits the identity and priority of the attempt, shares its
+    remaining allowance, and ends no later than the attempt's deadline.
     """
     now_s = time.monotonic()
-    deadline_s = min(parent.deadline_s, now_s + longest_s)
+    deadline_s = min(parent.deadline_s, now_s + max_duration_s)
     context = parent.context.for_nested_call(
         attempt_id=parent.context.attempt_id,
         remaining_s=deadline_s - now_s,
@@ -98,13 +104,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One try of a call at one guard.
+    """One attempt of a call at one guard.
 
     Attributes:
         call: The call.
-        context: Its context, for this try.
-        ticket: Ticket of a call that must not repeat.
-        received: What its sender last heard of the guard's backend server.
+        context: Context of the call for this attempt.
+        ticket: Ticket of a call that must run at most once.
+        received: The self report of the guard's backend server that the sender
+            received last.
     """
 
     call: Call
@@ -114,9 +121,10 @@
 
 
 class Delivery(enum.Enum):
-    """What is known of an attempt.
+    """Whether an attempt reached its guard, as far as the sender can tell.
 
-    `UNREACHED` proves that nothing was handed over; `LOST` proves nothing.
+    `UNREACHED` proves that the request was not delivered. `LOST` proves
+    nothing: the request may or may not have run.
     """
 
     ANSWERED = "answered"
@@ -126,7 +134,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AttemptResult:
-    """The fate of an attempt, with its answer if there is one."""
+    """The delivery status of an attempt, with its answer if there is one."""
 
     delivery: Delivery
     answer: outcomes.Answer | None = None
@@ -134,11 +142,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """What a dispatcher did, for metrics and checks.
+    """Totals of a dispatcher, for metrics and checks.
 
     Attributes:
         far_calls: Calls answered in another data centre.
-        far_bytes: Bytes of them, there and back.
+        far_bytes: Bytes of these calls and their answers.
     """
 
     calls: int = 0
