--- a/packages/burdockfront-client/src/burdockfront_client/calls.py
+++ b/packages/burdockfront-client/src/burdockfront_client/calls.py
@@ -34,8 +34,7 @@
         repeatable: Whether the call can safely be repeated; None derives this
             from the method.
         host: Host header of the caller, for backend servers that need it.
-        origin_service: Service beside whose backend server the request
-            entered.
+        origin_service: Service of the node at which the request entered.
         account: Client account of the request; empty for calls of backend
             servers.
         target_s: Target latency in seconds; an answer that takes longer is
--- a/packages/burdockfront-client/src/burdockfront_client/wire.py
+++ b/packages/burdockfront-client/src/burdockfront_client/wire.py
@@ -1,8 +1,8 @@
-"""How calls and answers look between processes.
+"""Wire format of calls and answers between processes.
 
 A call is plain HTTP to `/call/SERVICE/PATH` of the guard's internal port, with
-the signed context. What a guard says about an answer fits into one header,
-because each header costs time in every layer.
+the signed context. A guard describes an answer in a single header, because each
+header costs processing time in every layer.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 from burdockfront import outcomes
 from burdockfront import self_reports
 
-# Between nodes, where each byte and each header is paid for.
+# Headers between nodes; short, because every byte and header adds cost.
 CONTEXT = "b-context"
 CALL = "b-call"
 ANSWER = "b-answer"
@@ -27,16 +27,16 @@
 REQUEST_ID = "Burdockfront-Request-Id"
 TICKET = "Burdockfront-Ticket"
 UNSPENT = "Burdockfront-Unspent"
-# What a backend server says of itself on its answers.
+# Headers of a backend server's self report, on its answers.
 LIMIT = "Burdockfront-Limit"
 LEAVING = "Burdockfront-Leaving"
 PATH_LEVEL = "Burdockfront-Path-Level"
 IDEMPOTENCY_KEY = "Idempotency-Key"
 CALL_PREFIX = "/call/"
-# In place of a request's id: the name of the header that bears it.
+# Prefix of a request id field that names the header with the id instead.
 ID_IN_HEADER = "="
 
-# RFC 9110, 7.6.1: these belong to one connection and are not passed on.
+# RFC 9110, 7.6.1: these apply to one connection and are not forwarded.
 _HOP_BY_HOP = frozenset(
     [
         "connection",
@@ -55,7 +55,7 @@
 )
 _INTERNAL = frozenset([CONTEXT, CALL, ANSWER])
 _INTERNAL_PREFIX = "burdockfront-"
-_NAMES_REMEMBERED = 1024
+_CACHED_NAMES = 1024
 _PARTS_WITHOUT_REPORT = 14
 _OUTCOMES = {outcome.value: outcome for outcome in outcomes.Outcome}
 
@@ -63,17 +63,20 @@
 def end_to_end(
     headers: Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
-    """Returns the headers that travel on.
+    """Returns the end-to-end headers, which are forwarded.
 
-    Internal headers are dropped too: whatever a caller or a backend server
-    sets there must not be taken for the word of a node.
+    Internal headers are dropped too: values that a caller or a backend server
+    sets there must not be mistaken for those of a node.
     """
-    return tuple([pair for pair in headers if _travels_on(pair[0])])
+    return tuple([pair for pair in headers if _is_forwarded(pair[0])])
 
 
-@functools.lru_cache(maxsize=_NAMES_REMEMBERED)
-def _travels_on(name: str) -> bool:
-    """Whether a header of this name is passed on; the same few come always."""
+@functools.lru_cache(maxsize=_CACHED_NAMES)
+def _is_forwarded(name: str) -> bool:
+    """Whether a header of this name is forwarded.
+
+    Cached, because the same few names occur in nearly all messages.
+    """
     name = name.lower()
     if name in _HOP_BY_HOP or name in _INTERNAL:
         return False
@@ -82,13 +85,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallMetadata:
-    """What the entry says of a call besides its context.
+    """Properties of a call that the entry sends in addition to its context.
 
     Attributes:
-        repeatable: Whether repeating does no harm; None: judge by the method.
-        host: Host that the caller named.
-        origin_service: Service beside which the request entered.
-        account: Client account whose request it is; empty for calls.
+        repeatable: Whether the call can safely be repeated; None derives this
+            from the method.
+        host: Host header of the caller.
+        origin_service: Service of the node at which the request entered.
+        account: Client account of the request; empty for calls of backend
+            servers.
     """
 
     repeatable: bool | None = None
@@ -99,15 +104,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedCall:
-    """What the headers of a call between nodes say.
+    """Parsed headers of a call between nodes.
 
     Attributes:
         context: Signed context.
-        stamp: The asking node's clock.
-        metadata: What the entry says besides.
-        ticket: Ticket of a call that must not repeat; empty if it may.
-        headers: The caller's own headers, which travel on.
-        report: What the asking node last heard of the backend server.
+        stamp: Logical clock stamp of the calling node.
+        metadata: Properties of the call that the entry set.
+        ticket: Ticket of a call that must run at most once; empty if the call
+            can be repeated.
+        headers: The caller's own headers, to be forwarded.
+        report: Self report of the backend server that the calling node
+            received last.
     """
 
     context: str
@@ -124,18 +131,22 @@
     ticket: str,
     report: self_reports.SelfReport | None = None,
 ) -> str:
-    """Returns the header value that describes a call; the host has its own.
+    """Returns the value of the call header.
+
+    The host is not part of it: it is sent as the `Host` header.
 
     Args:
-        stamp: The asking node's clock.
-        metadata: What the entry says of the call.
-        ticket: Ticket of a call that must not repeat; empty if it may.
-        report: What the asking node last heard of the backend server.
+        stamp: Logical clock stamp of the calling node.
+        metadata: Properties of the call that the entry set.
+        ticket: Ticket of a call that must run at most once; empty if the call
+            can be repeated.
+        report: Self report of the backend server that the calling node
+            received last.
     """
     parts: list[object]
     parts = [stamp, metadata.repeatable, metadata.origin_service, ticket]
     if metadata.account or report is not None:
-        # Nodes of releases that know no accounts take four parts.
+        # Nodes of releases without client accounts accept exactly four parts.
         parts.append(metadata.account)
     if report is not None:
         parts.append(report.to_parts())
@@ -143,16 +154,17 @@
 
 
 def read_call(headers: Iterable[tuple[str, str]]) -> ReceivedCall:
-    """Reads the headers of a call.
+    """Parses the headers of a call.
 
     Args:
         headers: All headers, names in lower case.
 
     Raises:
-        InvalidInputError: They were not made by this release.
+        InvalidInputError: The call header is missing, or was not encoded by a
+            compatible release.
     """
     context = ""
-    described = ""
+    encoded = ""
     host = ""
     kept = []
     for pair in headers:
@@ -160,21 +172,21 @@
         if name == CONTEXT:
             context = value
         elif name == CALL:
-            described = value
+            encoded = value
         elif name == "host":
             host = value
-        elif _travels_on(name):
+        elif _is_forwarded(name):
             kept.append(pair)
     try:
         stamp, repeatable, origin_service, ticket, *rest = orjson.loads(
-            described.encode("latin-1")
+            encoded.encode("latin-1")
         )
     except (TypeError, ValueError):
         raise errors.InvalidInputError(
-            f"expected {CALL} of this release, got {described[:60]!r}; all "
-            f"nodes must run compatible releases."
+            f"expected {CALL} header of this release, got {encoded[:60]!r}; "
+            f"all nodes must run compatible releases."
         ) from None
-    # Without routes the host of a call is only the address of the guard.
+    # Without a route table, the host of a call is the address of the guard.
     metadata = CallMetadata()
     if repeatable is not None:
         account = rest[0] if rest else ""
@@ -189,18 +201,18 @@
     context: context_lib.RequestContext,
     headers: tuple[tuple[str, str], ...],
 ) -> None:
-    """Puts an id that travelled in a header of its own back into a context."""
+    """Resolves a request id that was sent in a header, not in the context."""
     if not context.request_id.startswith(ID_IN_HEADER):
         return
-    wanted = context.request_id.removeprefix(ID_IN_HEADER)
+    id_header = context.request_id.removeprefix(ID_IN_HEADER)
     for name, value in headers:
-        if name == wanted:
+        if name == id_header:
             context.request_id = value
             return
 
 
 def encode_answer(answer: outcomes.Answer, attempt_id: str, stamp: int) -> str:
-    """Returns the header value that describes an answer."""
+    """Returns the value of the answer header."""
     parts: list[object] = [
         attempt_id,
         answer.outcome,
@@ -223,10 +235,11 @@
 
 
 def is_answer_to(value: str | None, attempt_id: str) -> bool:
-    """Tells whether an answer of a guard is the one to an attempt.
+    """Whether the answer of a guard belongs to an attempt.
 
-    One without a guard's header was made before the call was read, for
-    example for a head that is too large. It is an answer, of an error.
+    An answer without the guard's header counts as one: it is an error that was
+    generated before the call was parsed, for example because its head is too
+    large.
     """
     return value is None or value.startswith(f'["{attempt_id}"')
 
@@ -238,18 +251,19 @@
     headers: tuple[tuple[str, str], ...],
     body: bytes,
 ) -> tuple[outcomes.Answer, int]:
-    """Reads an answer of a guard.
+    """Parses an answer of a guard.
 
     Returns:
-        The answer and the stamp of the guard's clock.
+        The answer and the logical clock stamp of the guard.
 
     Raises:
-        DispatchError: The answer belongs to another attempt, or to nobody.
+        DispatchError: The answer belongs to another attempt, has no answer
+            header, or has one that can't be parsed.
     """
     if value is None:
         raise errors.DispatchError(
-            f"expected an answer with {ANSWER}, got status {status} without "
-            f"it; check that the address is a node's internal port."
+            f"expected an answer with a {ANSWER} header, got status {status} "
+            f"without it; check that the address is a node's internal port."
         )
     try:
         parts = orjson.loads(value)
@@ -284,8 +298,9 @@
         TypeError,
         ValueError,
     ) as error:
-        # Raised as what it is, it would pass those who count open attempts.
+        # Any other exception type would bypass the accounting of open attempts
+        # in the sender, which handles only DispatchError.
         raise errors.DispatchError(
-            f"expected {ANSWER} of this release, got {value[:60]!r} with "
-            f"{error!r}; all nodes must run compatible releases."
+            f"expected {ANSWER} header of this release, got {value[:60]!r} "
+            f"with {error!r}; all nodes must run compatible releases."
         ) from None
