--- a/packages/burdockfront-client/src/burdockfront_client/call_link.py
+++ b/packages/burdockfront-client/src/burdockfront_client/call_link.py
@@ -1,14 +1,14 @@
-"""Connections on which calls go from node to node.
+"""Connections that carry calls between nodes.
 
-Calls are nearly all of a node's work, and a general HTTP client was a third of
-what each one cost on the asking side: 0.75 ms of processor time a call with it,
-0.5 ms with the connections that serve backend servers as well (`connection`),
-measured as processor time of the asking node over 4,000 calls.
+Calls are nearly all of a node's work, and a general HTTP client accounted for a
+third of their cost on the calling side. The calling node's processor time per
+call, over 4,000 calls, was 0.75 ms with that client and is 0.5 ms with the
+connections that also serve backend servers (`connection`).
 
-Something between two VMs can lose track of a connection: nothing arrives any
-more, no error comes either, while a new connection works at once. So a call
-that times out gives up all idle connections to that peer, and a confirmation
-goes only over one that was used a moment ago.
+The network between two VMs can lose track of a connection: neither data nor an
+error arrives any more, while a new connection works immediately. Hence a call
+that times out closes all idle connections to its peer, and a confirmation uses
+only a connection that was active a moment ago.
 """
 
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 from burdockfront_client import peers as peers_lib
 from burdockfront_client import pool as pool_lib
 
-# A node that was cut off does not answer, and a call that waits for a
-# connection to it can still go to another node. A connection takes one way to
-# and fro, at most a tenth of a second between regions; a packet that opens one
-# and is lost is sent again only after a second. With 1.0 s in place of 0.5 s a
-# fifth more calls failed while a third of the nodes was cut off for 12 s.
+# Connection timeout. A partitioned node does not answer, and a call that waits
+# for a connection to it can still be sent to another node. Connecting takes one
+# round trip, at most 0.1 s between regions; a lost SYN is retransmitted only
+# after 1 s. With 1.0 s instead of 0.5 s, a fifth more calls failed while a
+# third of the nodes was partitioned for 12 s.
 _CONNECT_S = 0.25
 
 
@@ -29,7 +29,7 @@
     """Keeps connections to the internal ports of other nodes.
 
     Args:
-        source_ip: Own IP number that connections come from; None lets the
+        source_ip: Local IP address of outgoing connections; None lets the
             system choose.
     """
 
@@ -43,7 +43,7 @@
         self._pools: dict[str, pool_lib.Pool] = {}
         self.retired = 0
 
-    async def ask(
+    async def request(
         self,
         address: str,
         request: bytes,
@@ -52,19 +52,19 @@
         limit_bytes: int,
         fresh: bool = False,
     ) -> connection_lib.RawAnswer:
-        """Sends a call and reads the whole answer.
+        """Sends a call and reads the complete answer.
 
         Args:
             address: `ip:port`.
-            request: The request as it goes on the wire.
-            is_own: Tells whether an answer is the one to this request.
-            timeout_s: Time until the whole answer must be here.
-            limit_bytes: Largest body that is accepted.
-            fresh: Avoid connections that may have gone silent.
+            request: The encoded request.
+            is_own: Returns whether an answer belongs to this request.
+            timeout_s: Time limit for receiving the complete answer.
+            limit_bytes: Maximum size of the answer's body.
+            fresh: Whether to avoid connections that may have become silent.
 
         Raises:
             UnreachableError: Nothing was sent.
-            LostAnswerError: Something was sent, no whole answer came.
+            LostAnswerError: The call was sent, but no complete answer arrived.
         """
         pool = self._pools.get(address)
         if pool is None:
--- a/packages/burdockfront-client/src/burdockfront_client/feedback.py
+++ b/packages/burdockfront-client/src/burdockfront_client/feedback.py
@@ -1,4 +1,4 @@
-"""What a router learns from the answers of guards."""
+"""Updates the router's view of guards from their answers."""
 
 import collections
 import time
@@ -13,30 +13,30 @@
 
 _SERVER_ERROR = 500
 _TIMEOUT_STATUS = 504
-# Of the backend server, not of the load.
-_FAULTS = frozenset(
+# Reasons that indicate a fault of the backend server, not overload.
+_BACKEND_FAULTS = frozenset(
     [
         outcomes.Reason.REJECTED,
         outcomes.Reason.UNREACHABLE,
         outcomes.Reason.LOST_ANSWER,
     ]
 )
-# Heads of a call and of its answer, about.
+# Approximate size of the heads of a call and its answer together.
 _HEADS_BYTES = 600
 _BYTES_PER_KB = 1000.0
 
 
 class Feedback:
-    """Brings what an answer tells to those whom it concerns.
+    """Passes the data on an answer to the router and the trackers.
 
     Args:
-        router: Learns who answered, how fast, and what is limited.
-        level_tracker: Learns the levels on answers.
-        recorder: Where events go.
-        counters: What was done so far.
+        router: Receives answers, latencies and rate limits of guards.
+        level_tracker: Receives the admission levels on answers.
+        recorder: Records events.
+        counters: Totals to update.
 
     Attributes:
-        reports: What guards told of their backend servers.
+        reports: Self reports of backend servers, received from their guards.
         far_bytes: Bytes to and from other data centres, by service and class.
     """
 
@@ -54,7 +54,7 @@
         self._recorder = recorder
         self._counters = counters
 
-    def learn(
+    def record(
         self,
         call: calls.Call,
         target: guards.Target,
@@ -62,16 +62,16 @@
         elapsed_s: float,
         now_s: float,
     ) -> None:
-        """Learns from an answer.
+        """Records an answer.
 
         Args:
-            call: What was asked.
+            call: The call.
             target: The guard that answered.
             answer: Its answer.
-            elapsed_s: How long it took.
+            elapsed_s: Time from sending the attempt to its answer.
             now_s: The current time.
         """
-        self._learn_pace(call, target, answer, elapsed_s, now_s)
+        self._update_estimates(call, target, answer, elapsed_s, now_s)
         self._router.record_answer(
             target.node_id, answer.load, answer.draining, now_s
         )
@@ -87,7 +87,7 @@
             if answer.report.limit_per_s is None:
                 self._router.clear_limit(target.node_id)
         if answer.reason is outcomes.Reason.LIMITED:
-            self._note_limited(target, answer, now_s)
+            self._record_limit(target, answer, now_s)
         if answer.level is not None:
             self._level_tracker.observe(
                 call.service,
@@ -96,18 +96,22 @@
                 now_s,
             )
         if self._router.is_far(target):
-            self._note_way(call, answer)
+            self._record_transfer(call, answer)
 
-    def _note_way(self, call: calls.Call, answer: outcomes.Answer) -> None:
-        """Counts what a call to another data centre moved."""
-        way_kb = _kb_of(call, answer)
-        answer.far_kb += way_kb
-        way_bytes = round(way_kb * _BYTES_PER_KB)
+    def _record_transfer(
+        self, call: calls.Call, answer: outcomes.Answer
+    ) -> None:
+        """Counts the bytes of a call to another data centre."""
+        size_kb = _size_kb(call, answer)
+        answer.far_kb += size_kb
+        size_bytes = round(size_kb * _BYTES_PER_KB)
         self._counters.far_calls += 1
-        self._counters.far_bytes += way_bytes
-        self.far_bytes[f"{call.service} {call.context.class_name}"] += way_bytes
+        self._counters.far_bytes += size_bytes
+        self.far_bytes[f"{call.service} {call.context.class_name}"] += (
+            size_bytes
+        )
 
-    def _learn_pace(
+    def _update_estimates(
         self,
         call: calls.Call,
         target: guards.Target,
@@ -116,7 +120,7 @@
         now_s: float,
     ) -> None:
         estimates = self._router.estimates
-        if answer.reason in _FAULTS:
+        if answer.reason in _BACKEND_FAULTS:
             estimates.record_failure(target.node_id, now_s)
         class_name = call.context.class_name
         timed_out = (
@@ -129,29 +133,29 @@
             )
         if answer.outcome is not outcomes.Outcome.DONE:
             return
-        estimates.record_size(call.service, class_name, _kb_of(call, answer))
+        estimates.record_size(call.service, class_name, _size_kb(call, answer))
         if answer.status < _SERVER_ERROR:
             estimates.record_answer(
                 call.service, target.node_id, class_name, elapsed_s, now_s
             )
 
-    def _note_limited(
+    def _record_limit(
         self, target: guards.Target, answer: outcomes.Answer, now_s: float
     ) -> None:
-        """Stays away from a guard that refused for a limit of its server."""
-        away_s = answer.retry_after_s or 0.0
+        """Avoids a guard that refused because of its server's rate limit."""
+        avoid_s = answer.retry_after_s or 0.0
         report = answer.report
-        if self._router.record_limited(target.node_id, away_s, now_s):
+        if self._router.record_limited(target.node_id, avoid_s, now_s):
             self._recorder.record(
                 time.time(),
                 "router.limited",
                 target=target.node_id,
                 limit_per_s=report.limit_per_s if report else None,
-                away_s=round(away_s, 3),
+                away_s=round(avoid_s, 3),
             )
 
 
-def _kb_of(call: calls.Call, answer: outcomes.Answer) -> float:
-    """Returns the kilobytes that a call and its answer have, about."""
+def _size_kb(call: calls.Call, answer: outcomes.Answer) -> float:
+    """Returns the approximate size of a call and its answer in kilobytes."""
     size_bytes = _HEADS_BYTES + len(call.body) + len(answer.body)
     return size_bytes / _BYTES_PER_KB
--- a/packages/burdockfront-client/src/burdockfront_client/sender.py
+++ b/packages/burdockfront-client/src/burdockfront_client/sender.py
@@ -1,4 +1,4 @@
-"""One attempt: sends it to a guard, and tells the outcome."""
+"""Sends a single attempt to a guard and records its outcome."""
 
 import asyncio
 import itertools
@@ -23,32 +23,34 @@
 from burdockfront_client import peers as peers_lib
 from burdockfront_client import wire
 
-# A guard gets a little less time than we wait, so that its own answer about
-# an expired deadline still reaches us.
+# The guard gets this much less time than the sender waits, so that the guard's
+# own answer about an expired deadline still arrives.
 _ANSWER_MARGIN_S = 0.02
 
 LocalGuard = Callable[[calls.Attempt], Awaitable[outcomes.Answer]]
-# Brings an attempt to a guard: the attempt, the guard, how long its answer is
-# waited for, and the largest answer in bytes.
+# Sends an attempt to a guard and returns its answer. Arguments: the attempt,
+# the guard, the timeout in seconds, and the maximum body size in bytes.
 Transport = Callable[
     [calls.Attempt, guards.Target, float, int], Awaitable[outcomes.Answer]
 ]
 
 
 class Sender:
-    """Sends attempts over the peers' connections.
+    """Sends attempts to guards, over the network or in this process.
 
     Args:
-        node_id: Name of this process, for attempt ids.
+        node_id: Id of this process; a guard with this id is called in process.
         keys: Keys that sign contexts and tickets.
-        router: Learns who answered.
-        level_tracker: Learns the levels on answers.
-        recorder: Where events go.
-        counters: What was done so far.
-        source_ip: Own IP number that connections come from, if it matters.
-        waits_past_deadline: The guard gets all the time that is left, and its answer
-            is waited for a little beyond it. Otherwise it gets a little less:
-            where contexts travel, each layer may take that off once more.
+        router: Receives the result of each attempt.
+        level_tracker: Receives the admission levels on answers.
+        recorder: Records events.
+        counters: Totals to update.
+        source_ip: Local IP address of outgoing connections; None lets the
+            system choose.
+        waits_past_deadline: Whether the guard gets all of the remaining time
+            and the sender waits slightly longer for its answer. Otherwise the
+            guard gets slightly less: where contexts are propagated, each layer
+            can subtract that margin again.
     """
 
     def __init__(
@@ -75,10 +77,11 @@
         self._router = router
         self._recorder = recorder
         self._counters = counters
-        # A restarted process counts anew, beside attempts of its predecessor
-        # that still wait somewhere. The id goes to and fro with each call, so
-        # it is short: of a thousand processes two have the same prefix once in
-        # ten thousand times, and then only equal ids at one guard would meet.
+        # A restarted process counts from 1 again while attempts of its previous
+        # incarnation may still be pending, so attempt ids have a random prefix.
+        # It is short because each call carries the id in both directions. The
+        # probability that two of a thousand processes share a prefix is 1 in
+        # 10,000, and even then only equal ids at the same guard would collide.
         self._prefix = f"{secrets.token_hex(4)}."
         self._sequence = itertools.count(1)
 
@@ -99,25 +102,26 @@
         """Sends one attempt and waits for its answer.
 
         Args:
-            call: What is asked.
+            call: The call.
             target: The guard.
-            ticket: Ticket of a call that must not repeat.
-            timeout_s: How long the answer is waited for.
-            overdue_s: After this the guard's silence counts against it.
-            limit_bytes: Largest answer.
+            ticket: Ticket of a call that must run at most once.
+            timeout_s: Maximum wait for the answer.
+            overdue_s: Time after which a missing answer counts as a failure of
+                the guard.
+            limit_bytes: Maximum size of the answer's body.
         """
         started_s = time.monotonic()
-        attempt = self._attempt_of(call, ticket, timeout_s)
-        heard = self.feedback.reports.by_node
-        if target.node_id in heard:
-            attempt.received = heard[target.node_id]
+        attempt = self._new_attempt(call, ticket, timeout_s)
+        reports = self.feedback.reports.by_node
+        if target.node_id in reports:
+            attempt.received = reports[target.node_id]
         attempt_id = attempt.context.attempt_id
         self._counters.attempts += 1
         self._router.record_sent(target.node_id)
-        alarm = None
+        overdue_timer = None
         if overdue_s < timeout_s:
-            alarm = asyncio.get_running_loop().call_later(
-                overdue_s, self._overdue, target.node_id
+            overdue_timer = asyncio.get_running_loop().call_later(
+                overdue_s, self._on_overdue, target.node_id
             )
         try:
             answer = await self._transmit(
@@ -125,26 +129,26 @@
             )
         except peers_lib.UnreachableError:
             call.pool.return_unused(attempt_id, attempt.context.allowance)
-            self._unanswered(call, target, unreachable=True)
+            self._record_no_answer(call, target, unreachable=True)
             return calls.AttemptResult(calls.Delivery.UNREACHED)
         except errors.DispatchError:
             call.pool.write_off(attempt_id)
             self._counters.lost += 1
-            self._unanswered(call, target, unreachable=False)
+            self._record_no_answer(call, target, unreachable=False)
             return calls.AttemptResult(calls.Delivery.LOST)
         except asyncio.CancelledError:
             call.pool.write_off(attempt_id)
             self._router.record_cancelled(target.node_id)
             raise
         finally:
-            if alarm is not None:
-                alarm.cancel()
+            if overdue_timer is not None:
+                overdue_timer.cancel()
         call.pool.return_unused(attempt_id, answer.unspent)
         now_s = time.monotonic()
-        self.feedback.learn(call, target, answer, now_s - started_s, now_s)
+        self.feedback.record(call, target, answer, now_s - started_s, now_s)
         return calls.AttemptResult(calls.Delivery.ANSWERED, answer)
 
-    def _attempt_of(
+    def _new_attempt(
         self,
         call: calls.Call,
         ticket: tickets.Ticket | None,
@@ -179,7 +183,7 @@
     ) -> outcomes.Answer:
         call = attempt.call
         attempt_id = attempt.context.attempt_id
-        reply = await self.link.ask(
+        reply = await self.link.request(
             target.address,
             connection_lib.encode_request(
                 call.method,
@@ -195,14 +199,14 @@
             limit_bytes,
             fresh=attempt.ticket is not None,
         )
-        answer, their_stamp = wire.decode_answer(
+        answer, guard_stamp = wire.decode_answer(
             reply.header(wire.ANSWER),
             attempt_id,
             reply.status,
             wire.end_to_end(reply.headers),
             reply.body,
         )
-        self._recorder.clock.observe(their_stamp, time.time())
+        self._recorder.clock.observe(guard_stamp, time.time())
         return answer
 
     def _headers(self, attempt: calls.Attempt) -> list[tuple[str, str]]:
@@ -212,31 +216,33 @@
             metadata = wire.CallMetadata(
                 call.idempotent, call.host, call.origin_service, call.account
             )
-        # Not under the callers' own name for it: their header travels on as
-        # it is, and two of one name would be taken for one another.
+        # The ticket has no header of its own under the callers' name for it:
+        # their header is forwarded unchanged, and two headers of one name would
+        # be confused.
         ticket = ""
         if attempt.ticket is not None:
             ticket = tickets.encode(attempt.ticket, self.keys)
         stamp = self._recorder.clock.tick(time.time())
         return [
             *call.headers,
-            (wire.CONTEXT, self._encoded(attempt.context, call.headers)),
+            (wire.CONTEXT, self._encode(attempt.context, call.headers)),
             (
                 wire.CALL,
                 wire.encode_call(stamp, metadata, ticket, attempt.received),
             ),
         ]
 
-    def _encoded(
+    def _encode(
         self,
         context: context_lib.RequestContext,
         headers: tuple[tuple[str, str], ...],
     ) -> str:
-        """Returns the context as it travels.
+        """Returns the encoded context.
 
-        An id that is in the caller's own headers is not sent twice: it grows
-        with each layer, to a tenth of a small call. With keys it stays in the
-        context, which is signed.
+        A request id that is also in one of the caller's headers is replaced by
+        a reference to that header, because ids grow with each layer, up to a
+        tenth of the size of a small call. With signing keys, the id stays in
+        the signed context.
         """
         if not self.keys.is_open:
             return context_lib.encode(context, self.keys)
@@ -246,14 +252,14 @@
                 return context_lib.encode(context, self.keys, reference)
         return context_lib.encode(context, self.keys)
 
-    def _overdue(self, node_id: str) -> None:
+    def _on_overdue(self, node_id: str) -> None:
         if self._router.record_overdue(node_id, time.monotonic()):
             self._record_ejection(node_id)
 
     def _record_ejection(self, node_id: str) -> None:
         self._recorder.record(time.time(), "router.ejected", target=node_id)
 
-    def _unanswered(
+    def _record_no_answer(
         self, call: calls.Call, target: guards.Target, unreachable: bool
     ) -> None:
         ejected = self._router.record_no_answer(
--- a/tests/unit/test_route_filter.py
+++ b/tests/unit/test_route_filter.py
@@ -66,7 +66,7 @@
         None,
         waits_past_deadline=True,
     )
-    attempt = sender._attempt_of(call, None, call.context.remaining_s)
+    attempt = sender._new_attempt(call, None, call.context.remaining_s)
     return attempt.context.remaining_s
 
 
