--- a/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
+++ b/packages/burdockfront-client/src/burdockfront_client/dispatcher.py
@@ -1,6 +1,6 @@
-"""Brings one call to an answer: choose, send, retry within the allowance.
+"""Processes a call: chooses a guard, sends attempts, retries within limits.
 
-What follows after an attempt is decided by `retry_decisions`.
+After each attempt, `retry_decisions` decides whether another one follows.
 """
 
 import random
@@ -22,25 +22,35 @@
 from burdockfront_client import retry_decisions
 from burdockfront_client import sender as sender_lib
 
-# A call of a backend server is one of several that a request makes, one after
-# the other, as a rule; no single one may take all the time that is left.
-_SHARE_OF_A_CALL = 0.5
+# Share of the remaining time that one nested call may use. A request usually
+# makes several calls one after the other, so no single call may use all of it.
+_NESTED_CALL_SHARE = 0.5
 
 
 class Dispatcher:
     """Sends calls to guards.
 
     Args:
-        node_id: Name of this process, for attempt ids.
-        data_center: Where it runs.
+        node_id: Id of this process, used as a prefix of generated ids.
+        data_center: Data centre of this process.
         keys: Keys that sign contexts and tickets.
-        policy_of: Returns the policy in force of a service.
-        recorder: Where events go.
+        policy_of: Returns the active policy of a service.
+        recorder: Records events.
         ticket_lifetime_s: Lifetime of tickets minted here.
         rng: Source of randomness.
-        source_ip: Own IP number that connections come from, if it matters.
-        retry_burst: Retries of a service that may be saved up here.
+        source_ip: Local IP address of outgoing connections; None lets the
+            system choose.
+        retry_burst: Retries of a service that are permitted before any are
+            earned.
         waits_past_deadline: See `sender.Sender`.
+
+    Attributes:
+        observer: Called with each call and its final answer, where contexts are
+            not propagated; None if unused.
+        router: Chooses the guard of each attempt.
+        level_tracker: Admission levels of the called services.
+        counters: Totals of this dispatcher.
+        sender: Sends single attempts.
     """
 
     def __init__(
@@ -56,7 +66,6 @@
         retry_burst: float = allowance_lib.DEFAULT_BURST,
         waits_past_deadline: bool = False,
     ):
-        # Learns from final answers, where contexts do not travel.
         self.observer: Callable[[calls.Call, outcomes.Answer], None] | None
         self.observer = None
         self.router = routing.Router(data_center, rng)
@@ -81,29 +90,37 @@
         )
 
     @property
-    def services_remembered(self) -> int:
-        """Services that this process keeps a retry ratio for."""
-        return self._retry_decisions.services_remembered
+    def tracked_services(self) -> int:
+        """Number of services with a stored retry ratio."""
+        return self._retry_decisions.tracked_services
 
     def set_retry_burst(self, burst: float) -> None:
-        """Takes how many retries of a service may be spent unearned."""
+        """Sets how many retries of a service are permitted unearned."""
         self._retry_decisions.set_retry_burst(burst)
 
     def new_id(self) -> str:
-        """Returns an id that no other process uses."""
+        """Returns an id that is unique across processes."""
         return f"{self._node_id}-{self._rng.getrandbits(48):012x}"
 
     def mint(
         self, service: str, tried: frozenset[str] = frozenset()
     ) -> tickets.Ticket | None:
-        """Returns a ticket of the guard that would be chosen now."""
+        """Returns a ticket of the guard that would be chosen now.
+
+        Args:
+            service: Service of the ticket.
+            tried: Guards to leave out.
+
+        Returns:
+            The ticket, or None if there is no guard to choose.
+        """
         owner = self.router.choose(
             service, tried, time.monotonic(), probe=False
         )
         return self.mint_for(owner) if owner is not None else None
 
     def mint_for(self, owner: guards.Target) -> tickets.Ticket:
-        """Returns a ticket that names one guard as its owner."""
+        """Returns a ticket owned by one guard."""
         return tickets.Ticket(
             nonce=self.new_id(),
             service=owner.service,
@@ -113,51 +130,52 @@
         )
 
     async def call(self, call: calls.Call) -> outcomes.Answer:
-        """Brings a call to its final answer."""
-        answer = await self._answer(call)
+        """Processes a call and returns its final answer."""
+        answer = await self._process(call)
         if self.observer is not None:
             self.observer(call, answer)
         return answer
 
-    async def _answer(self, call: calls.Call) -> outcomes.Answer:
+    async def _process(self, call: calls.Call) -> outcomes.Answer:
         self.counters.calls += 1
         if call.context.depth > 0 and self.observer is None:
-            # Only calls of our own backend server lie below its requests. A
-            # request that merely enters here would pull the level of its
-            # service into that of another one.
+            # Only calls of this node's own backend server are nested in its
+            # requests. A request that merely enters here would mix the level
+            # of its service into that of another service.
             self.level_tracker.record_call(
                 call.context.class_name, call.service, time.monotonic()
             )
         if not self.router.targets_of(call.service):
-            # Nothing may be kept for it: callers can make up names for ever.
+            # No state is kept for an unknown service: callers can invent any
+            # number of names.
             progress = retry_decisions.Progress(lost=call.ticket is not None)
-            return retry_decisions.honest(
+            return retry_decisions.downgrade_unproven(
                 self._no_target(call, progress), progress
             )
         self._retry_decisions.first_try(call)
         if call.ticket is not None:
             return await self._call_owner(call, call.ticket)
-        return await self._call_anyone(call)
+        return await self._call_any_guard(call)
 
-    async def _call_anyone(self, call: calls.Call) -> outcomes.Answer:
-        """A call that any guard may take, one of them at a time."""
+    async def _call_any_guard(self, call: calls.Call) -> outcomes.Answer:
+        """Sends a call that any guard may answer, to one guard at a time."""
         progress = retry_decisions.Progress()
         while True:
             target = self._choose(call, progress)
             if isinstance(target, outcomes.Answer):
-                return retry_decisions.honest(target, progress)
+                return retry_decisions.downgrade_unproven(target, progress)
             progress.tried.add(target.node_id)
             progress.last = target
             if call.idempotent:
-                sent = await self._send(call, target, None)
+                result = await self._send(call, target, None)
             else:
-                sent = await self._send_once(call, target, progress)
-            if retry_decisions.may_have_arrived(sent):
+                result = await self._send_once(call, target, progress)
+            if retry_decisions.may_have_arrived(result):
                 call.arrivals += 1
                 progress.handed.add(target.node_id)
-            final = self._retry_decisions.judge(call, sent, progress)
+            final = self._retry_decisions.decide(call, result, progress)
             if final is not None:
-                return retry_decisions.honest(final, progress)
+                return retry_decisions.downgrade_unproven(final, progress)
 
     async def _send_once(
         self,
@@ -165,38 +183,38 @@
         target: guards.Target,
         progress: retry_decisions.Progress,
     ) -> calls.AttemptResult:
-        """Sends a call that must not repeat, with a ticket of our own.
+        """Sends a call that must run at most once, with a newly minted ticket.
 
-        Nobody else can have used this ticket, so its owner's refusal proves
-        that nothing ran and the caller of this method may ask another owner
-        with another ticket. A lost answer is asked for again here, from the
-        same owner, whose ledger replays it.
+        No other call can have used this ticket, so a refusal by its owner
+        proves that nothing ran, and the caller of this method may try another
+        owner with another ticket. If the answer is lost, it is requested again
+        from the same owner, whose ledger replays it.
         """
         ticket = self.mint_for(target)
-        sent = await self._send(call, target, ticket)
-        asked = sent.delivery is calls.Delivery.LOST
-        while sent.delivery is not calls.Delivery.ANSWERED and asked:
+        result = await self._send(call, target, ticket)
+        lost = result.delivery is calls.Delivery.LOST
+        while result.delivery is not calls.Delivery.ANSWERED and lost:
             if not self._retry_decisions.may_retry(call, progress):
                 unknown = outcomes.unknown(outcomes.Reason.LOST_ANSWER)
                 return calls.AttemptResult(calls.Delivery.ANSWERED, unknown)
-            sent = await self._send(call, target, ticket)
-        return sent
+            result = await self._send(call, target, ticket)
+        return result
 
     async def _call_owner(
         self, call: calls.Call, ticket: tickets.Ticket
     ) -> outcomes.Answer:
-        """A call with the caller's ticket: only its owner may be asked.
+        """Sends a call with the caller's ticket, to the ticket's owner only.
 
-        Nothing but the owner's word proves `not-run` here: an earlier
-        attempt with the same ticket may be running at the owner.
+        Only the owner's answer can prove `not-run` here: an earlier attempt
+        with the same ticket may still be running at the owner.
         """
         progress = retry_decisions.Progress()
-        moves = 1 + self._policy_of(call.service).retry.reroutes
-        for _ in range(moves):
+        max_owners = 1 + self._policy_of(call.service).retry.reroutes
+        for _ in range(max_owners):
             owner = self.router.find(call.service, ticket.owner)
             if owner is None or owner.boot_id != ticket.boot_id:
                 return outcomes.unknown(outcomes.Reason.TICKET_OWNER_GONE)
-            answer = await self._ask_owner(call, owner, ticket, progress)
+            answer = await self._send_to_owner(call, owner, ticket, progress)
             if answer.moved_to is None:
                 return answer
             ticket = tickets.decode(answer.moved_to, self.sender.keys)
@@ -204,7 +222,7 @@
             outcomes.Reason.DRAINING, admission.RETRY_AFTER_S
         )
 
-    async def _ask_owner(
+    async def _send_to_owner(
         self,
         call: calls.Call,
         owner: guards.Target,
@@ -212,9 +230,9 @@
         progress: retry_decisions.Progress,
     ) -> outcomes.Answer:
         while True:
-            sent = await self._send(call, owner, ticket)
-            if sent.answer is not None:
-                return sent.answer
+            result = await self._send(call, owner, ticket)
+            if result.answer is not None:
+                return result.answer
             if not self._retry_decisions.may_retry(call, progress):
                 return outcomes.unknown(
                     outcomes.Reason.LOST_ANSWER, admission.RETRY_AFTER_S
@@ -232,7 +250,7 @@
         )
         if ticket is None:
             timeout_s = min(timeout_s, policy.attempt_timeout_s)
-        sent = await self.sender.send(
+        result = await self.sender.send(
             call,
             target,
             ticket,
@@ -240,8 +258,8 @@
             policy.attempt_timeout_s,
             policy.body_limit_bytes,
         )
-        call.trail.append(f"{target.node_id}: {_fate_of(sent)}")
-        return sent
+        call.trail.append(f"{target.node_id}: {_trail_entry(result)}")
+        return result
 
     def _choose(
         self, call: calls.Call, progress: retry_decisions.Progress
@@ -252,7 +270,7 @@
                 outcomes.Reason.DEADLINE, admission.RETRY_AFTER_S
             )
         if len(progress.handed) >= call.max_backends:
-            return self._choose_again(call, progress)
+            return self._last_guard(call, progress)
         tried = frozenset(progress.tried)
         class_name = call.context.class_name
         target = self.router.choose(
@@ -264,21 +282,21 @@
             allow_limited=limit_level.takes_precedence(call.context),
         )
         if target is None and progress.lost:
-            # All were tried; a lost answer may be asked for once more.
+            # All guards were tried; after a lost answer one may be tried again.
             target = self.router.choose(call.service, frozenset(), now_s)
         if target is None:
             return self._no_target(call, progress)
-        if self._would_die(call, now_s):
+        if self._exceeds_path_level(call, now_s):
             self.counters.early_refusals += 1
             return outcomes.not_run(
                 outcomes.Reason.OVERLOAD_DEEPER, admission.RETRY_AFTER_S
             )
         return target
 
-    def _choose_again(
+    def _last_guard(
         self, call: calls.Call, progress: retry_decisions.Progress
     ) -> guards.Target | outcomes.Answer:
-        """Returns the guard asked last: no further one may be handed it."""
+        """Returns the last guard, for a call that reached `max_backends`."""
         last = progress.last
         assert last is not None
         known = self.router.find(call.service, last.node_id)
@@ -286,8 +304,11 @@
             return self._no_target(call, progress)
         return known
 
-    def _would_die(self, call: calls.Call, now_s: float) -> bool:
-        """Whether a new request is above the level of its path."""
+    def _exceeds_path_level(self, call: calls.Call, now_s: float) -> bool:
+        """Whether the priority of a new request exceeds its path's level.
+
+        A deeper service would refuse such a request.
+        """
         context = call.context
         if context.depth > 0:
             return False
@@ -313,15 +334,15 @@
 
 
 def _limit_s(call: calls.Call, now_s: float) -> float:
-    """Returns after how long an answer is of little value."""
+    """Returns the latency beyond which an answer is of little value."""
     limit_s = min(call.target_s, call.deadline_s - now_s)
     if call.context.depth > 0:
-        limit_s *= _SHARE_OF_A_CALL
+        limit_s *= _NESTED_CALL_SHARE
     return limit_s
 
 
-def _fate_of(sent: calls.AttemptResult) -> str:
-    """Returns in a word what became of an attempt, for logs."""
-    if sent.answer is None:
-        return sent.delivery.value
-    return sent.answer.reason or sent.answer.outcome
+def _trail_entry(result: calls.AttemptResult) -> str:
+    """Returns the result of an attempt in one word, for logs."""
+    if result.answer is None:
+        return result.delivery.value
+    return result.answer.reason or result.answer.outcome
--- a/packages/burdockfront-client/src/burdockfront_client/retry_decisions.py
+++ b/packages/burdockfront-client/src/burdockfront_client/retry_decisions.py
@@ -1,8 +1,9 @@
-"""Decides what follows after an attempt of a call.
+"""Decides whether a call is retried, rerouted or answered after an attempt.
 
-What may be done after an attempt follows from what is known of it:
+The decision depends on the result of the attempt and on whether the call is
+idempotent, carries a ticket minted by the dispatcher, or one of the caller:
 
-| known                  | idempotent          | ticket of ours | caller's |
+| result of the attempt  | idempotent          | minted ticket  | caller's |
 |------------------------|---------------------|----------------|----------|
 | `done`                 | return              | return         | return   |
 | provably not run       | reroute (bounded)   | reroute, with  | return   |
@@ -12,8 +13,8 @@
 | sent, answer lost      | retry (allowance)   | ask the same owner again  |
 |                        |                     | (allowance)               |
 
-A refusal says `not-run` only if every attempt of this call provably ran
-nowhere; one lost answer turns the end into `unknown`.
+A final refusal is `not-run` only if no attempt of the call can have run; after
+a lost answer it is `unknown`.
 """
 
 import dataclasses
@@ -28,15 +29,17 @@
 from burdockfront import retries
 from burdockfront_client import calls
 
-# Less time than this is no time: an answer takes longer.
+# Less remaining time than this counts as none: an answer takes longer.
 MIN_REMAINING_S = 0.002
-# Of the retry ratio that operators allow; the rest is for what is counted in
-# another window than it was earned in.
+# Share of the configured retry ratio that is used. The rest covers retries that
+# are counted in a later window than the one that earned them.
 _RATIO_USED = 0.9
-# Of a server that refuses half of everything, 99 in 100 calls are taken within
-# so many more tries; each costs a token of the retry ratio.
-_MOST_REJECTIONS = 6
-# All guards of a service decide these alike.
+# Maximum number of repeats of a call after rejections. If a backend server
+# rejects half of its requests, 99 of 100 calls are accepted within this many
+# repeats. Each costs a token of the retry ratio.
+_MAX_REJECTIONS = 6
+# Refusals that any other guard of the service would repeat, so the call is not
+# rerouted.
 _SAME_EVERYWHERE = frozenset(
     [
         outcomes.Reason.SHED,
@@ -51,12 +54,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What is known so far of one call.
+    """State of one call over its attempts.
 
     Attributes:
-        tried: Guards that should not be asked again.
-        handed: Guards whose backend server was handed the call, or may have.
-        rejections: Times that it was sent again after a rejection.
+        tried: Guards that should not be chosen again.
+        handed: Guards whose backend server received, or may have received, the
+            call.
+        last: Guard of the last attempt.
+        rejections: How often the call was sent again after a rejection.
+        reroutes: How often the call was rerouted after another refusal.
+        hop_retries: Retries of this call that the retry policy permitted.
+        lost: Whether an attempt may have run without a known result.
+        refusal: The last answer that proves that an attempt did not run.
     """
 
     tried: set[str] = dataclasses.field(default_factory=set)
@@ -70,12 +79,13 @@
 
 
 class RetryDecisions:
-    """What follows after attempts, within the bounds of retries.
+    """Decides after each attempt, within the limits on retries.
 
     Args:
-        policy_of: Returns the policy in force of a service.
-        counters: What was done so far.
-        retry_burst: Retries of a service that may be saved up here.
+        policy_of: Returns the active policy of a service.
+        counters: Totals to update.
+        retry_burst: Retries of a service that are permitted before any are
+            earned.
     """
 
     def __init__(
@@ -90,12 +100,12 @@
         self._ratios: dict[str, allowance_lib.RetryRatio] = {}
 
     @property
-    def services_remembered(self) -> int:
-        """Services that a retry ratio is kept for."""
+    def tracked_services(self) -> int:
+        """Number of services with a stored retry ratio."""
         return len(self._ratios)
 
     def set_retry_burst(self, burst: float) -> None:
-        """Takes how many retries of a service may be spent unearned."""
+        """Sets how many retries of a service are permitted unearned."""
         if burst == self._retry_burst:
             return
         self._retry_burst = burst
@@ -103,29 +113,29 @@
             ratio.set_burst(burst)
 
     def first_try(self, call: calls.Call) -> None:
-        """Counts a call that will be sent."""
+        """Counts the first attempt of a call."""
         ratio = self._ratio(call.service)
         ratio.first_try(time.monotonic(), call.context.repeated)
 
-    def judge(
-        self, call: calls.Call, sent: calls.AttemptResult, progress: Progress
+    def decide(
+        self, call: calls.Call, result: calls.AttemptResult, progress: Progress
     ) -> outcomes.Answer | None:
-        """Returns the final answer, or None when the call goes on."""
-        if sent.delivery is calls.Delivery.UNREACHED:
+        """Returns the final answer, or None if another attempt follows."""
+        if result.delivery is calls.Delivery.UNREACHED:
             refusal = outcomes.not_run(
                 outcomes.Reason.UNREACHABLE, admission.RETRY_AFTER_S
             )
             return self._after_refusal(call, refusal, progress)
-        if sent.answer is None:
+        if result.answer is None:
             lost = outcomes.unknown(
                 outcomes.Reason.LOST_ANSWER, admission.RETRY_AFTER_S
             )
             return self._after_loss(call, lost, progress)
-        if sent.answer.outcome is outcomes.Outcome.NOT_RUN:
-            return self._after_refusal(call, sent.answer, progress)
-        if sent.answer.outcome is outcomes.Outcome.UNKNOWN:
-            return self._after_loss(call, sent.answer, progress)
-        return self._after_done(call, sent.answer, progress)
+        if result.answer.outcome is outcomes.Outcome.NOT_RUN:
+            return self._after_refusal(call, result.answer, progress)
+        if result.answer.outcome is outcomes.Outcome.UNKNOWN:
+            return self._after_loss(call, result.answer, progress)
+        return self._after_done(call, result.answer, progress)
 
     def _after_loss(
         self, call: calls.Call, lost: outcomes.Answer, progress: Progress
@@ -139,17 +149,17 @@
         self, call: calls.Call, answer: outcomes.Answer, progress: Progress
     ) -> outcomes.Answer | None:
         kind = self._retry_kind(call.service)
-        wanted = kind.retries_errors and answer.status >= 500
-        if wanted and call.idempotent and self.may_retry(call, progress):
+        retryable = kind.retries_errors and answer.status >= 500
+        if retryable and call.idempotent and self.may_retry(call, progress):
             return None
         return answer
 
     def _after_refusal(
         self, call: calls.Call, refusal: outcomes.Answer, progress: Progress
     ) -> outcomes.Answer | None:
-        """Goes on elsewhere after a provable not-run, within a bound."""
+        """Reroutes a call that provably did not run, within a limit."""
         progress.refusal = refusal
-        rules = self._policy_of(call.service).retry
+        retry_policy = self._policy_of(call.service).retry
         if self._retry_kind(call.service).retries_refusals:
             if self.may_retry(call, progress):
                 progress.tried.clear()
@@ -157,8 +167,8 @@
             return refusal
         if refusal.reason in _BACKEND_REFUSALS:
             return self._after_rejection(call, refusal, progress)
-        in_bound = progress.reroutes < rules.reroutes
-        if in_bound and refusal.reason not in _SAME_EVERYWHERE:
+        within_limit = progress.reroutes < retry_policy.reroutes
+        if within_limit and refusal.reason not in _SAME_EVERYWHERE:
             progress.reroutes += 1
             self.counters.reroutes += 1
             return None
@@ -167,14 +177,14 @@
     def _after_rejection(
         self, call: calls.Call, refusal: outcomes.Answer, progress: Progress
     ) -> outcomes.Answer | None:
-        """Goes on after a backend server's own refusal.
+        """Sends a call again that the backend server itself rejected.
 
-        It was handed the request, and all that goes on after it adds to the
-        load like a retry, so it is bounded like one. The same server may be
-        asked again: one that refuses a part of all requests, whatever its
-        load, takes the next as likely as any other, and is nearer.
+        The server received the request, so another attempt adds load like a
+        retry and is limited like one. The same server may be chosen again: a
+        server that rejects a share of all requests regardless of its load is as
+        likely to accept the next one as any other, and is nearer.
         """
-        if progress.rejections >= _MOST_REJECTIONS:
+        if progress.rejections >= _MAX_REJECTIONS:
             return refusal
         ratio = self._ratio(call.service)
         if not ratio.retry(time.monotonic(), call.context.priority):
@@ -187,7 +197,7 @@
         return None
 
     def may_retry(self, call: calls.Call, progress: Progress) -> bool:
-        """Takes what a retry of a call costs, or returns False."""
+        """Consumes the cost of a retry, or returns False if not permitted."""
         now_s = time.monotonic()
         if call.deadline_s - now_s <= MIN_REMAINING_S:
             return False
@@ -216,7 +226,9 @@
         return ratio
 
 
-def honest(answer: outcomes.Answer, progress: Progress) -> outcomes.Answer:
+def downgrade_unproven(
+    answer: outcomes.Answer, progress: Progress
+) -> outcomes.Answer:
     """Returns `unknown` in place of a `not-run` that can't be proved."""
     refused = answer.outcome is outcomes.Outcome.NOT_RUN
     if not (refused and progress.lost):
@@ -225,10 +237,10 @@
     return outcomes.unknown(reason, answer.retry_after_s)
 
 
-def may_have_arrived(sent: calls.AttemptResult) -> bool:
+def may_have_arrived(result: calls.AttemptResult) -> bool:
     """Whether an attempt may have reached a backend server."""
-    if sent.answer is None:
-        return sent.delivery is calls.Delivery.LOST
-    if sent.answer.outcome is outcomes.Outcome.NOT_RUN:
-        return sent.answer.reason in _BACKEND_REFUSALS
+    if result.answer is None:
+        return result.delivery is calls.Delivery.LOST
+    if result.answer.outcome is outcomes.Outcome.NOT_RUN:
+        return result.answer.reason in _BACKEND_REFUSALS
     return True
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher, without a network."""
+"""Unit tests of the dispatcher without a network."""
 
 import asyncio
 import random
@@ -25,9 +25,9 @@
     )
 
 
-def test_made_up_services_leave_nothing_behind():
-    # Somebody asks for one made-up service after the other. Each must be
-    # refused without a trace, or a node's memory is anybody's to fill.
+def test_unknown_services_leave_no_state():
+    # A caller that requests any number of invented service names must not be
+    # able to fill a node's memory.
     async def scenario():
         dispatcher = dispatcher_lib.Dispatcher(
             "n1",
@@ -41,7 +41,7 @@
         for number in range(50):
             answer = await dispatcher.call(_call(f"made-up-{number}"))
             assert answer.reason == "no-such-service"
-        assert dispatcher.services_remembered == 0
+        assert dispatcher.tracked_services == 0
         await dispatcher.sender.close()
 
     asyncio.run(scenario())
