--- a/packages/burdockfront-client/src/burdockfront_client/connection.py
+++ b/packages/burdockfront-client/src/burdockfront_client/connection.py
@@ -1,14 +1,14 @@
-"""One connection to a backend server that may misbehave.
+"""HTTP/1.1 client connection to a server that may misbehave.
 
-Backend servers send answers late or twice, append bytes, break off, or answer
-before they have read the request. What arrives on a kept connection must never
-be taken for the answer to the request that happens to wait there. The usual
-HTTP clients hand such bytes to the next request: they cannot know better,
-since HTTP/1.1 does not number its answers. Here every answer is offered to the
-request that waits, which recognises its own; what it does not recognise is
-dropped, and a connection that ever showed such bytes is not used again.
+Backend servers send answers late or twice, append bytes, close the connection
+in the middle of an answer, or answer before they have read the request. Bytes
+that arrive on a reused connection must never be mistaken for the answer to the
+pending request. General HTTP clients pass such bytes to the next request,
+because HTTP/1.1 answers carry no request id. Here the pending request decides
+whether an answer is its own. Any other answer is dropped, and the connection on
+which it arrived is not reused.
 
-The parser is that of `httptools`.
+Answers are parsed by `httptools`.
 """
 
 import asyncio
@@ -22,34 +22,34 @@
 from burdockfront import errors
 from burdockfront_client import header_names
 
-_HEADERS_BYTES = 65_536
+_MAX_HEADERS_BYTES = 65_536
 _NO_BODY = (204, 304)
 
 
 class NotSentError(errors.DispatchError):
-    """Nothing was sent: the request provably did not run."""
+    """Nothing was sent, so the request provably did not run."""
 
 
 class AnswerLostError(errors.DispatchError):
-    """The request was sent, but no whole answer of its own came back."""
+    """The request was sent, but no complete answer to it arrived."""
 
 
 class AnswerLateError(AnswerLostError):
-    """No whole answer came in time."""
+    """No complete answer arrived within the timeout."""
 
 
 class AnswerTooLargeError(AnswerLostError):
-    """The answer is larger than allowed; what was asked for did run."""
+    """The answer is larger than allowed; the request did run."""
 
 
 @dataclasses.dataclass(slots=True)
 class RawAnswer:
-    """An answer as it stood on the connection.
+    """An HTTP answer as received.
 
     Attributes:
         status: HTTP status code.
         headers: All headers in their order, names in lower case.
-        body: The whole body.
+        body: The complete body.
     """
 
     status: int
@@ -57,7 +57,7 @@
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Returns the first header of this lower-case name."""
+        """Returns the first header with a name in lower case, or None."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiting:
+class _PendingRequest:
     answer: asyncio.Future[RawAnswer]
     is_own: Callable[[RawAnswer], bool]
     limit_bytes: int
@@ -73,12 +73,12 @@
 
 
 class Connection(asyncio.Protocol):
-    """Serves one request at a time.
+    """A connection that carries one request at a time.
 
     Attributes:
-        idle_since_s: Loop time at which the last answer ended.
-        keep_alive_s: How long the other side keeps it open while idle, as it
-            said last; None if it did not say.
+        idle_since_s: Event loop time at which the last answer ended.
+        keep_alive_s: Idle timeout from the last Keep-Alive header of the
+            server; None if the last answer had none.
     """
 
     def __init__(self) -> None:
@@ -87,74 +87,74 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._waiting: _Waiting | None = None
+        self._pending: _PendingRequest | None = None
         self._reusable = True
         self._closed = False
         self._begin_message()
 
-    # ---- asyncio ---------------------------------------------------------
+    # ---- asyncio.Protocol ------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the transport."""
-        # The transports of uvloop are no subclasses of asyncio.Transport.
+        """Stores the transport."""
+        # The transports of uvloop are not subclasses of asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrives."""
-        if self._waiting is None:
-            # Nobody waits, so these bytes belong to no request.
+        """Parses received bytes."""
+        if self._pending is None:
+            # No request is pending, so these bytes belong to none.
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"sent what is no HTTP answer ({error})")
+            self._fail(f"sent invalid HTTP ({error})")
         except httptools.HttpParserUpgrade:
             self._fail("switched to another protocol")
 
     def eof_received(self) -> bool:
-        """Ends an answer that has no length, or fails the one under way."""
-        if self._waiting is not None and self._ends_with_connection():
+        """Ends an answer without a length, or fails the pending request."""
+        if self._pending is not None and self._ends_with_connection():
             self._end_message()
         self._fail("closed the connection")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fails the request that waits, if there is one."""
+        """Fails the pending request, if there is one."""
         self._closed = True
         self._fail(f"reset the connection ({exc!r})")
 
-    # ---- parser ----------------------------------------------------------
+    # ---- callbacks of the parser -----------------------------------------
 
     def on_message_begin(self) -> None:
-        """Begins an answer."""
+        """Starts an answer."""
         if self._message_done:
-            # A second answer behind the first one.
+            # A second answer follows the first one.
             self._reusable = False
         self._begin_message()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Appends a header, within the size limit."""
         self._headers_bytes += len(name) + len(value)
-        if self._headers_bytes > _HEADERS_BYTES:
-            self._fail(f"sent more than {_HEADERS_BYTES} bytes of headers")
+        if self._headers_bytes > _MAX_HEADERS_BYTES:
+            self._fail(f"sent more than {_MAX_HEADERS_BYTES} bytes of headers")
             return
-        known = header_names.KNOWN.get(name) or header_names.lowered(name)
-        self._headers.append((known, value.decode("latin-1")))
+        lowered = header_names.KNOWN.get(name) or header_names.lowered(name)
+        self._headers.append((lowered, value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Notes that the headers are whole."""
+        """Marks the headers as complete and stores the status."""
         self._headers_done = True
         self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of the body."""
+        """Appends a part of the body, within the size limit."""
         self._body.append(body)
         self._body_bytes += len(body)
-        waiting = self._waiting
-        if waiting is not None and self._body_bytes > waiting.limit_bytes:
+        pending = self._pending
+        if pending is not None and self._body_bytes > pending.limit_bytes:
             self._fail(
-                f"answered more than {waiting.limit_bytes} bytes",
+                f"sent a body of more than {pending.limit_bytes} bytes",
                 AnswerTooLargeError,
             )
 
@@ -162,12 +162,12 @@
         """Ends an answer."""
         self._end_message()
 
-    # ---- use -------------------------------------------------------------
+    # ---- requests --------------------------------------------------------
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent on it."""
-        return self._reusable and not self._closed and self._waiting is None
+        """Whether another request may be sent on this connection."""
+        return self._reusable and not self._closed and self._pending is None
 
     async def exchange(
         self,
@@ -178,48 +178,51 @@
     ) -> RawAnswer:
         """Sends a request and waits for its answer.
 
-        Cancelling it closes the connection, which tells the other side that
-        nobody waits any more.
+        Cancellation closes the connection, which signals to the server that the
+        answer is no longer awaited.
 
         Args:
-            request: The request as it goes on the wire.
-            is_own: Tells whether an answer is the one to this request.
-            limit_bytes: Largest body.
-            timeout_s: How long the whole answer is waited for.
+            request: The encoded request.
+            is_own: Returns whether an answer belongs to this request.
+            limit_bytes: Maximum size of the answer's body.
+            timeout_s: Time limit for receiving the complete answer.
 
         Raises:
-            NotSentError: The connection was closed already.
-            AnswerLateError: It was sent, but the answer was not here in time.
-            AnswerLostError: It was sent, but no whole answer came.
+            NotSentError: The connection was already closed or in use.
+            AnswerLateError: The request was sent, but its answer was not
+                complete within the timeout.
+            AnswerTooLargeError: The answer's body is larger than `limit_bytes`.
+            AnswerLostError: The request was sent, but no complete answer
+                arrived.
         """
         if not self.usable or self._transport is None:
             raise NotSentError("the connection was closed; nothing was sent.")
         loop = self._loop
         self._begin_message()
-        waiting = self._waiting = _Waiting(
+        pending = self._pending = _PendingRequest(
             loop.create_future(),
             is_own,
             limit_bytes,
-            loop.call_later(timeout_s, self._be_late, timeout_s),
+            loop.call_later(timeout_s, self._on_timeout, timeout_s),
         )
         self._transport.write(request)
         try:
-            answer = await waiting.answer
+            answer = await pending.answer
         except asyncio.CancelledError:
             self.close()
             raise
         finally:
-            waiting.timer.cancel()
-            self._waiting = None
+            pending.timer.cancel()
+            self._pending = None
         self.idle_since_s = loop.time()
         if self._transport.get_write_buffer_size() > 0:
-            # Answered before the whole request was taken: the rest of its
-            # body would be read as the beginning of the next request.
+            # The server answered before it had received the whole request. It
+            # would parse the rest of the body as the start of the next request.
             self.close()
         return answer
 
     def close(self) -> None:
-        """Closes it; a request that waits fails."""
+        """Closes the connection; a pending request fails."""
         self._reusable = False
         self._closed = True
         if self._transport is not None:
@@ -237,7 +240,8 @@
     def _end_message(self) -> None:
         self._message_done = True
         if self._status < 200:
-            # 100 Continue and its like: the answer itself follows.
+            # An informational answer such as 100 Continue; the final answer
+            # follows.
             self._message_done = False
             return
         if not self._parser.should_keep_alive():
@@ -245,16 +249,17 @@
         answer = RawAnswer(
             self._status, tuple(self._headers), b"".join(self._body)
         )
-        waiting = self._waiting
-        if waiting is None or waiting.answer.done():
+        pending = self._pending
+        if pending is None or pending.answer.done():
             self._reusable = False
             return
-        if not waiting.is_own(answer):
-            # The late answer to an earlier request; ours may still follow.
+        if not pending.is_own(answer):
+            # The late answer to an earlier request; the answer to the pending
+            # one may still follow.
             self._reusable = False
             return
         self.keep_alive_s = _keep_alive_of(answer)
-        waiting.answer.set_result(answer)
+        pending.answer.set_result(answer)
 
     def _ends_with_connection(self) -> bool:
         if not self._headers_done or self._message_done:
@@ -263,13 +268,13 @@
         framed = {"content-length", "transfer-encoding"} & names
         return not framed and self._status not in _NO_BODY
 
-    def _be_late(self, timeout_s: float) -> None:
-        """Gives up the request that waits, and tells the other side so."""
-        waiting = self._waiting
-        if waiting is not None and not waiting.answer.done():
-            waiting.answer.set_exception(
+    def _on_timeout(self, timeout_s: float) -> None:
+        """Fails the pending request and closes the connection."""
+        pending = self._pending
+        if pending is not None and not pending.answer.done():
+            pending.answer.set_exception(
                 AnswerLateError(
-                    f"no whole answer came within {timeout_s:.3f} s; the "
+                    f"no complete answer arrived within {timeout_s:.3f} s; the "
                     f"request may have run."
                 )
             )
@@ -279,12 +284,12 @@
         self, what: str, kind: type[AnswerLostError] = AnswerLostError
     ) -> None:
         self._reusable = False
-        waiting = self._waiting
-        if waiting is not None and not waiting.answer.done():
-            waiting.answer.set_exception(
+        pending = self._pending
+        if pending is not None and not pending.answer.done():
+            pending.answer.set_exception(
                 kind(
-                    f"the other side {what} before the whole answer to "
-                    f"the request was here; the request may have run."
+                    f"the server {what} before the answer to the request "
+                    f"was complete; the request may have run."
                 )
             )
         if not self._closed:
@@ -298,7 +303,7 @@
     headers: Iterable[tuple[str, str]],
     body: bytes,
 ) -> bytes:
-    """Returns a request as it goes on the wire."""
+    """Returns an encoded request, with its Host and Content-Length headers."""
     line = f"{method} {target} HTTP/1.1\r\nhost: {host}\r\n"
     fields = "".join([f"{name}: {value}\r\n" for name, value in headers])
     if not body and method in ("GET", "HEAD"):
@@ -308,7 +313,7 @@
 
 
 def _keep_alive_of(answer: RawAnswer) -> float | None:
-    """Returns the idle time that a Keep-Alive header states."""
+    """Returns the timeout in an answer's Keep-Alive header, or None."""
     value = answer.header("keep-alive")
     if value is None:
         return None
--- a/packages/burdockfront-client/src/burdockfront_client/embedded.py
+++ b/packages/burdockfront-client/src/burdockfront_client/embedded.py
@@ -1,9 +1,10 @@
-"""The router inside a backend server or a caller: one relay per call.
+"""Router embedded in a backend server or another caller.
 
-Measured, one relay adds about half of what two add (docs/design/data-path.md),
-so programs in Python embed this. It learns members and policies from its own
-node once a second; a table that is a second old is safe, because every
-promise is kept by the guards, which refuse what they must not take.
+An embedded router sends calls directly to the target's guard, so each call has
+one relay instead of two, which adds about half the overhead
+(docs/design/data-path.md). It fetches members and policies from its own node
+once a second. Data that is up to a second old is safe, because the guards
+enforce all guarantees and refuse any request that they must not accept.
 
     router = embedded.EmbeddedRouter("app-1", "dc1", keys, "127.0.0.1:7101")
     await router.start()
@@ -48,9 +49,12 @@
 
     Args:
         name: Unique name of this process.
-        data_center: Where it runs.
-        peer_keys: The nodes' keys.
-        node_address: Internal address of the node beside it, `ip:port`.
+        data_center: Data centre of this process.
+        peer_keys: Keys shared with the nodes.
+        node_address: Internal address of this process's node, `ip:port`.
+
+    Attributes:
+        dispatcher: Sends the calls.
     """
 
     def __init__(
@@ -73,20 +77,20 @@
             _TICKET_LIFETIME_S,
             random.Random(secrets.randbits(64)),
         )
-        self._refreshing: asyncio.Task[None] | None = None
+        self._refresh_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begins to learn members and policies from the node."""
-        self._refreshing = asyncio.create_task(self._refresh_forever())
+        """Starts fetching members and policies from the node."""
+        self._refresh_task = asyncio.create_task(self._refresh_forever())
 
     async def close(self) -> None:
-        """Closes connections."""
-        if self._refreshing is not None:
-            self._refreshing.cancel()
+        """Stops fetching, and closes all connections."""
+        if self._refresh_task is not None:
+            self._refresh_task.cancel()
         await self.dispatcher.sender.close()
 
     def policy_of(self, service: str) -> policy_lib.Policy:
-        """Returns the policy in force, as the node told it last."""
+        """Returns the policy that the node sent last, or a default policy."""
         policy = self._policies.get(service)
         if policy is None:
             policy = policy_lib.default(service)
@@ -95,13 +99,16 @@
 
     @contextlib.contextmanager
     def serving(self, signed_context: str) -> Iterator["Serving"]:
-        """Opens the attempt behind a request that the guard handed over.
+        """Opens the attempt of a request that the guard handed over.
 
         Args:
             signed_context: Value of the `Burdockfront-Context` header.
 
+        Yields:
+            The open request, through which nested calls are made.
+
         Raises:
-            ForgedContextError: It was not signed by a node.
+            ForgedContextError: The context was not signed by a node.
         """
         context = context_lib.decode(signed_context, self._keys)
         attempt = self._attempts.begin(context)
@@ -111,10 +118,10 @@
             self._attempts.end(context.attempt_id)
 
     async def refresh(self) -> None:
-        """Learns members and policies once.
+        """Fetches members and policies from the node once.
 
         Raises:
-            DispatchError: The node did not answer.
+            DispatchError: The node did not answer with status 200.
         """
         headers = {"Authorization": f"Bearer {self._keys.first()}"}
         reply = await self.dispatcher.sender.peers.request(
@@ -145,12 +152,15 @@
             try:
                 await self.refresh()
             except errors.BurdockfrontError as error:
-                _LOG.warning("members not learned", extra={"why": str(error)})
+                _LOG.warning(
+                    "could not fetch members and policies from the node",
+                    extra={"why": str(error)},
+                )
             await asyncio.sleep(_REFRESH_S)
 
 
 class Serving:
-    """One request that a backend server works on."""
+    """A request that a backend server is processing."""
 
     def __init__(
         self, router: EmbeddedRouter, attempt: attempts_lib.OpenAttempt
@@ -166,9 +176,10 @@
         headers: tuple[tuple[str, str], ...] = (),
         body: bytes = b"",
     ) -> outcomes.Answer:
-        """Calls a deeper service on behalf of this request."""
+        """Calls another service on behalf of this request."""
         if not self._router.dispatcher.router.targets_of(service):
-            # Just started, or the service is new: ask before refusing.
+            # This router has just started, or the service is new: refresh
+            # before the call is refused.
             with contextlib.suppress(errors.DispatchError):
                 await self._router.refresh()
         policy = self._router.policy_of(service)
@@ -184,7 +195,7 @@
         return await self._router.dispatcher.call(call)
 
     def headers(self) -> list[tuple[str, str]]:
-        """Returns headers that the guard wants with the answer."""
+        """Returns the headers that the guard expects on the answer."""
         level = self._router.dispatcher.level_tracker.path_level(
             self._attempt.context.class_name, time.monotonic()
         )
