--- a/tests/properties/test_whole_answers.py
+++ b/tests/properties/test_whole_answers.py
@@ -1,9 +1,9 @@
-"""Each request gets the whole answer to itself, or none.
+"""Each request gets its own complete answer, or none.
 
-A server answers whole, late, twice, cut, without a length, with another's
-answer, with bytes that are no answer, or not at all; its bytes arrive in pieces
-of any size, and kept connections are used again wherever that is allowed. The
-oracle knows the body that belongs to each request.
+The server sends answers that are complete, late, duplicated, truncated, without
+a length or for another request, or bytes that are not HTTP, or nothing. Its
+bytes arrive in chunks of any size, and connections are reused wherever that is
+allowed. The oracle knows the body that belongs to each request.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 _TIMEOUT_S = 5.0
 
 
-class _Wire:
-    """The transport of a connection whose other side is played by the test."""
+class _StubTransport:
+    """Transport of a connection for which the test simulates the server."""
 
     def __init__(self) -> None:
         self.aborted = False
@@ -65,18 +65,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Reaction:
-    """What the server does with one request.
+    """The server's reaction to one request.
 
     Attributes:
         kind: See `_bytes_of`.
-        cut: Where a cut answer ends, as a share of it.
-        piece_bytes: Size of the pieces in which its bytes arrive.
-        resets: Whether its connection ends by a reset, not in order.
+        truncated_at: Share of a truncated answer that is sent.
+        chunk_bytes: Size of the chunks in which the bytes arrive.
+        resets: Whether the connection ends with a reset instead of a FIN.
     """
 
     kind: str
-    cut: float
-    piece_bytes: int
+    truncated_at: float
+    chunk_bytes: int
     resets: bool
 
 
@@ -122,16 +122,17 @@
         case "chunked-cut":
             whole = _chunked(number)
         case "unframed-cut":
-            # Its end shows only by how its connection ends.
+            # Only the way in which the connection ends shows whether the
+            # answer is complete.
             return _unframed(number)[:-5]
         case "bytes":
             return b"\x00\x01 this is no answer\r\n\r\n"
         case _:
             return b""
-    return whole[: int(reaction.cut * len(whole))]
+    return whole[: int(reaction.truncated_at * len(whole))]
 
 
-def _must_be_whole(reaction: _Reaction) -> bool:
+def _must_be_complete(reaction: _Reaction) -> bool:
     if reaction.kind == "unframed":
         return not reaction.resets
     return reaction.kind in (
@@ -143,26 +144,30 @@
     )
 
 
-def _may_be_whole(reaction: _Reaction) -> bool:
-    """An unframed answer that ends in order is whole, wherever it ends."""
+def _may_be_complete(reaction: _Reaction) -> bool:
+    """Whether the answer may be accepted.
+
+    An answer without a length counts as complete wherever its connection is
+    closed with a FIN.
+    """
     if reaction.kind == "unframed-cut":
         return not reaction.resets
-    return _must_be_whole(reaction)
+    return _must_be_complete(reaction)
 
 
 class _Client:
-    """Keeps a connection as long as it may be used again."""
+    """Reuses a connection for as long as that is allowed."""
 
     def __init__(self) -> None:
         self._connection: connection_lib.Connection | None = None
         self.opened = 0
 
-    async def ask(
+    async def request(
         self, reaction: _Reaction, number: int
     ) -> connection_lib.RawAnswer | None:
         """Returns the answer, or None if it was lost."""
-        connection = self._usable()
-        asking = asyncio.create_task(
+        connection = self._usable_connection()
+        exchange = asyncio.create_task(
             connection.exchange(
                 b"GET / HTTP/1.1\r\n\r\n",
                 lambda answer: answer.header("request-id") == f"r{number}",
@@ -171,36 +176,38 @@
             )
         )
         await asyncio.sleep(0)
-        _play(connection, reaction, number)
+        _deliver(connection, reaction, number)
         try:
-            answer = await asking
+            answer = await exchange
         except connection_lib.AnswerLostError:
             return None
         if reaction.kind == "bytes-after":
             connection.data_received(b"HTTP/1.1 200 OK\r\n")
         return answer
 
-    def _usable(self) -> connection_lib.Connection:
-        known = self._connection
-        if known is not None and known.usable:
-            return known
+    def _usable_connection(self) -> connection_lib.Connection:
+        current = self._connection
+        if current is not None and current.usable:
+            return current
         self.opened += 1
         self._connection = connection_lib.Connection()
-        self._connection.connection_made(_Wire())  # type: ignore[arg-type]
+        self._connection.connection_made(
+            _StubTransport()  # type: ignore[arg-type]
+        )
         return self._connection
 
 
-def _play(
+def _deliver(
     connection: connection_lib.Connection, reaction: _Reaction, number: int
 ) -> None:
-    """Lets the bytes of a reaction arrive."""
+    """Delivers the bytes of a reaction to the connection."""
     data = _bytes_of(reaction, number)
-    step = reaction.piece_bytes
+    step = reaction.chunk_bytes
     for start in range(0, len(data), step):
         if connection._closed:
             return
         connection.data_received(data[start : start + step])
-    if _must_be_whole(reaction) and reaction.kind != "unframed":
+    if _must_be_complete(reaction) and reaction.kind != "unframed":
         return
     if not connection._closed:
         if not reaction.resets:
@@ -212,15 +219,17 @@
 
 @hypothesis.settings(max_examples=300, deadline=None)
 @hypothesis.given(reactions=strategies.lists(_REACTIONS, max_size=6))
-def test_answer_is_the_whole_own_one_or_lost(reactions):
+def test_answer_is_complete_and_own_or_lost(reactions):
     async def scenario() -> None:
         client = _Client()
         for number, reaction in enumerate(reactions, 1):
-            answer = await client.ask(reaction, number)
+            answer = await client.request(reaction, number)
             if answer is None:
-                assert not _must_be_whole(reaction), "it was there, and whole"
+                assert not _must_be_complete(reaction), (
+                    "a complete answer was lost"
+                )
                 continue
-            assert _may_be_whole(reaction), "it was not whole"
+            assert _may_be_complete(reaction), "the answer was incomplete"
             assert answer.header("request-id") == f"r{number}"
             if reaction.kind != "unframed-cut":
                 assert answer.body == _body_of(number)
--- a/tests/scripted_server.py
+++ b/tests/scripted_server.py
@@ -1,4 +1,4 @@
-"""A server that sends exactly the bytes it is told to, for hostile answers."""
+"""A TCP server that sends scripted bytes, to simulate malformed answers."""
 
 import asyncio
 import dataclasses
@@ -10,12 +10,12 @@
 
 @dataclasses.dataclass(slots=True)
 class ScriptedServer:
-    """What was asked of it, and where it listens.
+    """Address of a scripted server, and the requests that it received.
 
     Attributes:
         address: `ip:port`.
-        connections: How many connections were made.
-        requests: Heads of the requests, in their order.
+        connections: Number of connections that were opened.
+        requests: Heads of the received requests, in order.
     """
 
     address: str = ""
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One reaction to one request.
+    """The reaction to one request.
 
     Attributes:
         data: Bytes to send.
-        then: `keep`, `close` or `reset` the connection, or say nothing more
-            (`hang`).
+        then: What happens next: `keep`, `close` or `reset` the connection, or
+            stop responding and leave it open (`hang`).
     """
 
     data: bytes
@@ -39,19 +39,19 @@
 
 @asynccontextmanager
 async def serving(*steps: Step) -> AsyncIterator[ScriptedServer]:
-    """Serves the steps in their order, whatever is asked."""
-    served = ScriptedServer()
-    left = list(steps)
+    """Serves the steps in order, regardless of the requests."""
+    scripted = ScriptedServer()
+    remaining = list(steps)
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        served.connections += 1
+        scripted.connections += 1
         try:
-            while left:
+            while remaining:
                 head = await reader.readuntil(b"\r\n\r\n")
-                served.requests.append(head)
-                step = left.pop(0)
+                scripted.requests.append(head)
+                step = remaining.pop(0)
                 writer.write(step.data)
                 await writer.drain()
                 if step.then == "reset":
@@ -65,15 +65,15 @@
             return
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    served.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+    scripted.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     try:
-        yield served
+        yield scripted
     finally:
         server.close()
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Closes with a reset instead of an orderly end."""
+    """Closes the connection with a TCP reset instead of a FIN."""
     sock = writer.get_extra_info("socket")
     linger = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -81,7 +81,7 @@
 
 
 def an_answer(body: bytes, request_id: str, *headers: str) -> bytes:
-    """Returns an answer with a length."""
+    """Returns an encoded answer with a Content-Length header."""
     lines = [
         "HTTP/1.1 200 OK",
         f"Request-Id: {request_id}",
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -1,4 +1,4 @@
-"""Connections to peers: what is sent, and how often."""
+"""Requests to peers are sent once, without implicit retries."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 
 from burdockfront_client import peers as peers_lib
 
-_WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class _ServerThatHangsUp:
-    """Answers the first request of a connection, hangs up at the next."""
+class _ClosingServer:
+    """Answers the first request of a connection and aborts at the second."""
 
     def __init__(self):
         self.requests = 0
@@ -25,7 +25,7 @@
     async def _serve(self, reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         self.requests += 1
-        writer.write(_WHOLE)
+        writer.write(_ANSWER)
         await writer.drain()
         await reader.readuntil(b"\r\n\r\n")
         self.requests += 1
@@ -33,21 +33,21 @@
 
 
 async def _send_twice(method):
-    hanging = _ServerThatHangsUp()
-    server = await hanging.start()
+    closing = _ClosingServer()
+    server = await closing.start()
     peers = peers_lib.Peers()
-    arguments = (hanging.address, method, "/", [], b"", 2.0, 1000)
+    arguments = (closing.address, method, "/", [], b"", 2.0, 1000)
     await peers.request(*arguments)
     with pytest.raises(peers_lib.LostAnswerError):
         await peers.request(*arguments)
     await peers.close()
     server.close()
-    return hanging.requests
+    return closing.requests
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
-def test_library_does_not_retry_behind_our_back(method):
-    # The second request is handed over, and the connection breaks. The HTTP
-    # client would send GET, PUT and DELETE once more by itself: a retry that
-    # no allowance knows of, and a confirmation by PUT that runs twice.
+def test_client_does_not_retry_implicitly(method):
+    # The second request is sent, and then the connection is aborted. An HTTP
+    # client that sends GET, PUT and DELETE again by itself would retry outside
+    # the allowance, and run a confirmation by PUT twice.
     assert asyncio.run(_send_twice(method)) == 2
