--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -173,7 +173,7 @@
         policy = self._policy
         recorder = timeline.Recorder(place.node_id, place.data_center, 1)
         keys = keyring.KeyRing([], open_ring=True)
-        attempts = attempts_lib.AttemptBook()
+        attempts = attempts_lib.AttemptTracker()
 
         def policy_of(service: str) -> policy_lib.Policy:
             return policy
@@ -187,11 +187,11 @@
             _TICKET_S,
             self._rng,
             retry_burst=self._retry_burst,
-            waits_longer=True,
+            waits_past_deadline=True,
         )
         router = self.dispatcher.router
         lineage = lineage_lib.Lineage(
-            self.dispatcher.book, lambda: len(router.services())
+            self.dispatcher.level_tracker, lambda: len(router.services())
         )
         self.dispatcher.observer = lineage.on_call_answer
         ready = asyncio.Event()
@@ -325,7 +325,7 @@
         arrivals=0,
     )
     return calls.Attempt(
-        call, dataclasses.replace(context), attempt.ticket, attempt.told
+        call, dataclasses.replace(context), attempt.ticket, attempt.received
     )
 
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
@@ -119,5 +119,5 @@
             )
             return None
         finally:
-            pool.forget()
+            pool.close_idle()
         return self._dialect.health_of(answer)
--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -168,7 +168,7 @@
     def _build_request_path(self) -> None:
         settings = self._settings
         policy_of = self._exchange.configuration.policy_of
-        self._attempts = attempts_lib.AttemptBook()
+        self._attempts = attempts_lib.AttemptTracker()
         self._dispatcher = dispatcher_lib.Dispatcher(
             settings.node_id,
             settings.data_center,
@@ -179,7 +179,7 @@
             self._rng,
             self._source_ip,
             self._retry_burst(),
-            waits_longer=settings.routed is not None,
+            waits_past_deadline=settings.routed is not None,
         )
         self._quarantine = quarantine_lib.Quarantine(
             self._boot_id,
--- a/packages/burdockfront-node/src/burdockfront_node/guard.py
+++ b/packages/burdockfront-node/src/burdockfront_node/guard.py
@@ -83,7 +83,7 @@
         node_id: str,
         ledger: ledger_lib.Ledger,
         dispatcher: dispatcher_lib.Dispatcher,
-        attempts: attempts_lib.AttemptBook,
+        attempts: attempts_lib.AttemptTracker,
         policy_of: Callable[[str], policy_lib.Policy],
         recorder: timeline.Recorder,
         wall_s: Callable[[], float],
@@ -238,8 +238,8 @@
 
     async def handle(self, attempt: calls.Attempt) -> outcomes.Answer:
         """Serves an attempt from a peer or from this node."""
-        if attempt.told is not None:
-            self.self_reports.on_relayed_report(attempt.told)
+        if attempt.received is not None:
+            self.self_reports.on_relayed_report(attempt.received)
         if self._lineage is not None:
             attempt = self._lineage.classify(attempt)
         if attempt.ticket is not None:
@@ -334,7 +334,7 @@
         """Whether a new request exceeds the level of a downstream service."""
         if context.depth > 0:
             return False
-        path_level = self._dispatcher.book.path_level(
+        path_level = self._dispatcher.level_tracker.path_level(
             context.class_name, time.monotonic()
         )
         return context.priority > path_level
@@ -371,7 +371,7 @@
             reason=refusal.reason or "",
             priority=context.priority,
             level=self.level(),
-            path_level=self._dispatcher.book.path_level(
+            path_level=self._dispatcher.level_tracker.path_level(
                 context.class_name, time.monotonic()
             ),
             new_work=context.depth == 0,
@@ -393,8 +393,8 @@
         context = attempt.context
         answer.level = self._reported_level(context, answer)
         answer.report = None
-        if attempt.told is not None or not self.self_reports.is_plain:
-            answer.report = self.self_reports.report_for(attempt.told)
+        if attempt.received is not None or not self.self_reports.is_plain:
+            answer.report = self.self_reports.report_for(attempt.received)
         answer.load = self.load()
         answer.draining = not self.accepts_work or self.announcement is None
         answer.nested_call = context.depth > 0
@@ -415,7 +415,7 @@
         """
         if not self.accepts_work:
             return None
-        path_level = self._dispatcher.book.path_level(
+        path_level = self._dispatcher.level_tracker.path_level(
             context.class_name, time.monotonic()
         )
         level = min(self.level(), path_level)
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -38,7 +38,7 @@
         self,
         dialect: surroundings.Dialect,
         incarnations: incarnations_lib.IncarnationTracker,
-        attempts: attempts_lib.AttemptBook,
+        attempts: attempts_lib.AttemptTracker,
     ):
         self._dialect = dialect
         self._incarnations = incarnations
@@ -107,7 +107,7 @@
         wanted = (address, current.instance_id, current.born_ms)
         if self._pool is None or known != wanted:
             if self._pool is not None:
-                self._pool.forget()
+                self._pool.close_idle()
             self._pool = pool_lib.Pool(address)
             self._address = address
             self._instance_id = current.instance_id
