--- a/packages/burdockfront-node/src/burdockfront_node/internal/asgi.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/asgi.py
@@ -16,7 +16,7 @@
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
 
 
-async def ask(
+async def call(
     application: Application, request: messages.Request
 ) -> messages.Response:
     """Returns an application's answer to a request."""
--- a/packages/burdockfront-node/src/burdockfront_node/internal_app.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal_app.py
@@ -65,7 +65,7 @@
     async def serve(self, request: messages.Request) -> messages.Response:
         """Answers a call, or passes everything else on."""
         if not request.target.startswith(wire.CALL_PREFIX):
-            return await asgi.ask(self._rest, request)  # type: ignore[arg-type]
+            return await asgi.call(self._rest, request)  # type: ignore[arg-type]
         try:
             attempt = self._attempt_of(request)
         except errors.BurdockfrontError as error:
