--- a/packages/burdockfront-node/src/burdockfront_node/internal/http_connection.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/http_connection.py
@@ -24,7 +24,7 @@
 # Requests of one connection that are read before the first is answered. More
 # wait in the buffers of the network, so a caller can't fill our memory. Callers
 # send a handful ahead; while reading pauses nobody would see that one has gone.
-_MOST_TURNS = 32
+_MAX_OPEN_REQUESTS = 32
 
 LimitsOf = Callable[[], routes.CallerLimits]
 
@@ -223,7 +223,7 @@
             # Such a caller would want to be told that it is kept open.
             keeps_alive = False
         self._turns.append(_Turn(request, keeps_alive))
-        if len(self._turns) >= _MOST_TURNS:
+        if len(self._turns) >= _MAX_OPEN_REQUESTS:
             self._pace_reading()
         self._start_turns()
 
@@ -362,7 +362,7 @@
 
     def _pace_reading(self) -> None:
         """Reads while there is room for requests and answers."""
-        room = self._may_write and len(self._turns) < _MOST_TURNS
+        room = self._may_write and len(self._turns) < _MAX_OPEN_REQUESTS
         paused = not (self._reads and room)
         if paused == self._paused or self._transport is None:
             return
