--- a/packages/burdockfront-node/src/burdockfront_node/internal/asgi.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/asgi.py
@@ -1,7 +1,7 @@
-"""Lets an ASGI application answer requests of a port that relays.
+"""Runs an ASGI application for a request that `http_port` has read.
 
-Peers' exchange and operators' questions come to the same port as calls. They
-are rare, and starlette serves them.
+Gossip of peers and requests of operators arrive at the same port as calls.
+They are rare, so starlette serves them.
 """
 
 from collections.abc import Awaitable
@@ -19,15 +19,15 @@
 async def call(
     application: Application, request: messages.Request
 ) -> messages.Response:
-    """Returns an application's answer to a request."""
-    answer = _Answer()
+    """Returns the response of an application to a request."""
+    collector = _ResponseCollector()
 
     async def receive() -> dict[str, Any]:
         return {"type": "http.request", "body": request.body}
 
-    await application(_scope_of(request), receive, answer.send)
+    await application(_scope_of(request), receive, collector.send)
     return messages.Response(
-        answer.status, tuple(answer.headers), bytes(answer.body)
+        collector.status, tuple(collector.headers), bytes(collector.body)
     )
 
 
@@ -50,8 +50,8 @@
     }
 
 
-class _Answer:
-    """Collects the messages of an answer."""
+class _ResponseCollector:
+    """Collects the ASGI messages of one response."""
 
     def __init__(self) -> None:
         self.status = 500
--- a/packages/burdockfront-node/src/burdockfront_node/internal/clocks.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/clocks.py
@@ -1,18 +1,18 @@
-"""A wall clock that never steps back within one process."""
+"""A wall clock that never goes back within one process."""
 
 import time
 
 
 class SteadyWallClock:
-    """The wall clock at the start, carried on by the monotonic clock.
+    """Wall clock time at creation, advanced by the monotonic clock.
 
-    Ticket expiry is judged by it. If it could step back, an entry that the
-    ledger has already forgotten could become acceptable once more.
+    Ticket expiry is checked against this clock. If it could go back, a ticket
+    whose ledger entry is already evicted could become valid again.
     """
 
     def __init__(self) -> None:
         self._offset_s = time.time() - time.monotonic()
 
     def __call__(self) -> float:
-        """Returns wall clock seconds."""
+        """Returns the wall clock time in seconds."""
         return self._offset_s + time.monotonic()
--- a/packages/burdockfront-node/src/burdockfront_node/internal/compression.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/compression.py
@@ -1,8 +1,8 @@
-"""Compression of messages between nodes, where it pays.
+"""Compression of large messages between nodes.
 
-Tables of members repeat the same names in every entry: 194 of them shrink from
-40 KB to 6 KB, in about half a millisecond of processor time. A probe at rest
-would not get smaller.
+Member tables repeat the same names in every entry: a table of 194 members
+shrinks from 40 KB to 6 KB, in about 0.5 ms of CPU time. A probe without
+piggybacked updates does not get smaller.
 """
 
 import zlib
@@ -10,52 +10,56 @@
 from burdockfront import errors
 
 ENCODING = "deflate"
-# Below this the headers that come with a message outweigh what is saved.
-_LEAST_BYTES = 600
-# The fastest level; the next ones save a tenth of the bytes for twice the time.
+# Bodies below this size are sent as they are: the HTTP headers of the message
+# outweigh the saving.
+_MIN_BYTES = 600
+# The fastest level. The next levels save a tenth of the bytes but take twice
+# the time.
 _LEVEL = 1
 
 
 def pack(body: bytes) -> tuple[bytes, str]:
-    """Returns a body as it travels, and its encoding; "" leaves it as it is."""
-    if len(body) < _LEAST_BYTES:
+    """Returns the body to send and its content encoding ("" if unchanged)."""
+    if len(body) < _MIN_BYTES:
         return body, ""
     return zlib.compress(body, _LEVEL), ENCODING
 
 
 def unpack(body: bytes, encoding: str, limit_bytes: int) -> bytes:
-    """Returns a body as it was before `pack`.
+    """Reverses `pack`.
 
     Args:
-        body: As it came.
-        encoding: What the sender says of it.
-        limit_bytes: Largest result, so that a few bytes can't fill the memory.
+        body: Body as received.
+        encoding: Content encoding that the sender declared; empty for none.
+        limit_bytes: Maximum size of the decompressed body, since a few
+            compressed bytes could otherwise exhaust memory.
 
     Raises:
-        InvalidInputError: It can't be read, or is too large.
+        InvalidInputError: The encoding is unknown, the body can't be
+            decompressed or is truncated, or the result is too large.
     """
     if not encoding:
         return body
     if encoding != ENCODING:
         raise errors.InvalidInputError(
-            f"expected a body that is plain or in {ENCODING}, got one in "
-            f"{encoding!r}; all nodes must run compatible releases."
+            f"expected a body without content encoding or in {ENCODING}, got "
+            f"one in {encoding!r}; all nodes must run compatible releases."
         )
-    reader = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        found = reader.decompress(body, limit_bytes)
+        unpacked = decompressor.decompress(body, limit_bytes)
     except zlib.error as error:
         raise errors.InvalidInputError(
-            f"a body said to be in {ENCODING} can't be read ({error}); all "
-            f"nodes must run compatible releases."
+            f"a body declared as {ENCODING} can't be decompressed ({error}); "
+            f"all nodes must run compatible releases."
         ) from None
-    if reader.unconsumed_tail:
+    if decompressor.unconsumed_tail:
         raise errors.InvalidInputError(
             f"expected a message of at most {limit_bytes} bytes, got more."
         )
-    if not reader.eof:
+    if not decompressor.eof:
         raise errors.InvalidInputError(
-            f"a body said to be in {ENCODING} ends too early; all nodes must "
-            f"run compatible releases."
+            f"a body declared as {ENCODING} is truncated; all nodes must run "
+            f"compatible releases."
         )
-    return found
+    return unpacked
--- a/tests/unit/test_compression.py
+++ b/tests/unit/test_compression.py
@@ -1,8 +1,8 @@
-"""Compressed bodies between nodes, and such that are not what they say.
+"""Compressed bodies between nodes, and bodies not in their declared encoding.
 
-A peer of another release, or a fault, sends bytes that can't be read, end too
-early, or would fill the memory. Nothing of them is taken, and the error names
-the remedy.
+A peer of another release or a fault sends a body that can't be decompressed,
+is truncated, or would exhaust memory. Such a body is rejected whole, and the
+error names the remedy.
 """
 
 import asyncio
@@ -22,34 +22,34 @@
 
 
 @hypothesis.given(strategies.binary(max_size=5_000))
-def test_body_is_the_same_after_its_way(body):
+def test_body_is_unchanged_after_pack_and_unpack(body):
     packed, encoding = compression.pack(body)
     assert compression.unpack(packed, encoding, _LIMIT_BYTES) == body
 
 
-def test_short_body_is_left_as_it_is():
+def test_short_body_is_not_compressed():
     assert compression.pack(b"{}") == (b"{}", "")
 
 
 @pytest.mark.parametrize(
-    ("body", "encoding", "said"),
+    ("body", "encoding", "message"),
     [
         (b"{}", "gzip", "got one in 'gzip'"),
-        (b"not compressed at all", "deflate", "can't be read"),
-        (zlib.compress(b"x" * 5_000)[:-6], "deflate", "ends too early"),
+        (b"not compressed at all", "deflate", "can't be decompressed"),
+        (zlib.compress(b"x" * 5_000)[:-6], "deflate", "is truncated"),
         (zlib.compress(b"x" * 1_000_000), "deflate", "at most 100000 bytes"),
     ],
 )
-def test_body_that_is_not_what_it_says_is_refused(body, encoding, said):
-    with pytest.raises(errors.InvalidInputError, match=said):
+def test_body_not_in_its_declared_encoding_is_rejected(body, encoding, message):
+    with pytest.raises(errors.InvalidInputError, match=message):
         compression.unpack(body, encoding, _LIMIT_BYTES)
 
 
-def test_peer_port_refuses_a_body_that_cannot_be_read():
-    taken = []
+def test_peer_endpoint_rejects_a_body_that_cannot_be_decompressed():
+    handled = []
 
     async def handler(message):
-        taken.append(message)
+        handled.append(message)
         return {}
 
     async def receive():
@@ -65,4 +65,4 @@
     response = asyncio.run(route.endpoint(requests.Request(scope, receive)))
     assert response.status_code == 400
     assert b"compatible releases" in response.body
-    assert not taken
+    assert not handled
