--- a/packages/burdockfront-node/src/burdockfront_node/internal/messages.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers on the ports of a node, and their form on the wire."""
+"""Requests and responses on the ports of a node, and their encoding."""
 
 import dataclasses
 import http
@@ -26,7 +26,7 @@
 
 
 class BodyTooSlowError(errors.InvalidInputError):
-    """The request body did not arrive in time."""
+    """The request body did not arrive within the time limit."""
 
     def __init__(self, limit_s: float):
         super().__init__(
@@ -37,15 +37,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A whole request.
+    """A request that has been read whole.
 
     Attributes:
         method: HTTP method.
-        target: Encoded path and query, exactly as they were sent.
+        target: Encoded path and query, exactly as received.
         headers: All headers, names in lower case.
         body: The whole body.
-        arrived_s: Monotonic time at which it was whole. Behind others on its
-            connection it may wait before it is served.
+        arrived_s: Monotonic time at which the last byte was read. The request
+            may wait behind earlier ones of its connection before it is served.
     """
 
     method: str
@@ -55,7 +55,7 @@
     arrived_s: float = dataclasses.field(default_factory=time.monotonic)
 
     def header(self, name: str) -> str | None:
-        """Returns the first header of this lower-case name."""
+        """Returns the first header with this lower-case name, or None."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -64,14 +64,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """A whole answer.
+    """A complete response.
 
     Attributes:
         status: HTTP status code.
-        headers: Headers without those of the connection and the length.
+        headers: Headers, without those on the connection and the length.
         body: The whole body.
-        closes: The connection ends with it, unless a request that was read
-            already waits behind it.
+        closes: Whether to close the connection after this response, unless a
+            further request of the connection has already been read.
     """
 
     status: int
@@ -81,12 +81,12 @@
 
 
 def encode(response: Response, head_only: bool, closes: bool) -> bytes:
-    """Returns an answer as it goes on the wire.
+    """Encodes a response as HTTP/1.1.
 
     Args:
-        response: The answer.
-        head_only: The request was one for the head alone.
-        closes: Tell the other side that the connection ends.
+        response: Response to encode.
+        head_only: Whether to leave out the body, as for a HEAD request.
+        closes: Whether to send `connection: close`.
     """
     status = response.status
     line = _STATUS_LINES.get(status) or f"HTTP/1.1 {status} \r\n"
--- a/packages/burdockfront-node/src/burdockfront_node/internal/supervision.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/supervision.py
@@ -1,11 +1,12 @@
-"""Keeps a node's tasks running.
-
-A controller that meets what nobody thought of raises, and its task ends. The
-process lives on without it. Symptom: a node that is ready and serves, but no
-longer probes, or watches, or says when its backend server has gone; nobody
-notices until that part is needed. So a task that fails begins again after a
-pause, and says so on the time line. Its state is in the controller, not in
-the task, so nothing is lost; a fault that stays costs one event per pause.
+"""Restarts background tasks of a node that fail.
+
+An unforeseen exception in a controller ends its task, while the process keeps
+running. Symptom: the node is ready and serves, but no longer probes, watches,
+or reports that its backend server has exited, which goes unnoticed until that
+part is needed. A failed task is therefore restarted after a pause, and the
+failure is recorded on the time line. State is kept in the controller, not in
+the task, so a restart loses nothing; a permanent fault costs one event per
+pause.
 """
 
 import asyncio
@@ -27,19 +28,19 @@
     recorder: timeline.Recorder,
     pause_s: float = _PAUSE_S,
 ) -> None:
-    """Runs work until it ends without an error, or is cancelled.
+    """Runs a task until it returns without an error or is cancelled.
 
     Args:
-        work: Begins the work anew each time it is called.
-        recorder: Where failures are noted.
-        pause_s: Time between a failure and the next begin.
+        work: Starts the task from the beginning at each call.
+        recorder: Records failures.
+        pause_s: Time between a failure and the restart.
     """
     name = getattr(work, "__qualname__", repr(work))
     while True:
         try:
             await work()
         except Exception as error:
-            _LOG.exception("a task failed and begins again")
+            _LOG.exception("a task failed and is restarted")
             recorder.record(
                 time.time(), "task.failed", task=name, error=repr(error)
             )
--- a/tests/unit/test_event_log.py
+++ b/tests/unit/test_event_log.py
@@ -1,4 +1,4 @@
-"""Lines on standard output: bounded, and never waited for."""
+"""The event log on standard output: bounded and non-blocking."""
 
 import asyncio
 import os
@@ -24,7 +24,7 @@
     return [orjson.loads(line) for line in data.splitlines()]
 
 
-def test_event_is_one_line_with_what_decided():
+def test_event_is_one_line_with_its_details():
     async def scenario() -> None:
         reading, writing = os.pipe()
         log = event_log.EventLog(writing)
@@ -39,7 +39,7 @@
     asyncio.run(scenario())
 
 
-def test_steps_that_another_line_repeats_are_not_printed():
+def test_steps_repeated_by_another_line_are_not_printed():
     async def scenario() -> None:
         reading, writing = os.pipe()
         log = event_log.EventLog(writing)
@@ -55,8 +55,8 @@
 
 
 def test_flood_of_successes_leaves_room_for_a_failure():
-    # Thousands of requests a second are served and one is lost. Its line is
-    # the one that somebody will look for.
+    # Failure: among thousands of successes per second one request is lost, and
+    # the line rate limit drops the line of that request.
     async def scenario() -> None:
         reading, writing = os.pipe()
         log = event_log.EventLog(writing)
@@ -75,7 +75,7 @@
     asyncio.run(scenario())
 
 
-def test_reader_that_does_not_read_blocks_nobody():
+def test_stalled_reader_does_not_block_the_process():
     async def scenario() -> None:
         reading, writing = os.pipe()
         log = event_log.EventLog(writing)
@@ -84,7 +84,7 @@
             log.write_event(_event("member.alive", f"r-{number}", text=wide))
         log.flush()
         log.flush()
-        assert log.dropped > 0, "what waits is bounded"
+        assert log.dropped > 0, "the buffer is bounded"
         os.close(reading)
         log.flush()
 
