--- a/packages/burdockfront-node/src/burdockfront_node/internal/http_connection.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/http_connection.py
@@ -1,7 +1,6 @@
-"""One connection of a caller: requests in, answers out, in their order.
+"""HTTP/1.1 server connection with pipelining; responses keep request order.
 
-See `http_port` for why no server library stands between the parser and the code
-that decides.
+See `http_port` for why the node does not use a server library here.
 """
 
 import asyncio
@@ -21,42 +20,44 @@
 from burdockfront_node.internal import messages
 
 _LOG = logging.getLogger(__name__)
-# Requests of one connection that are read before the first is answered. More
-# wait in the buffers of the network, so a caller can't fill our memory. Callers
-# send a handful ahead; while reading pauses nobody would see that one has gone.
+# Limit on the requests of one connection that are read and not yet answered.
+# Further requests stay in the socket buffers, so a caller can't exhaust the
+# node's memory. Callers pipeline only a few requests. While reading is paused,
+# the disconnect of a caller goes unnoticed.
 _MAX_OPEN_REQUESTS = 32
 
 LimitsOf = Callable[[], routes.CallerLimits]
 
 
 class Handler(Protocol):
-    """Who answers the requests of a port."""
+    """Answers the requests of a port."""
 
     def body_limit_bytes(self, target: str) -> int:
-        """Returns the largest body of a request to a target."""
+        """Returns the maximum body size of a request to a target."""
 
     def may_overlap(self, request: messages.Request) -> bool:
-        """Whether it may be served while earlier ones are not answered yet.
+        """Whether a request may run while earlier ones are unanswered.
 
-        Only if running it again does no harm: behind an answer that ends the
-        connection a caller takes it for not read, and sends it once more.
+        Allowed only for requests that are safe to repeat: after a response
+        that closes the connection, the caller assumes that its later requests
+        were not read and sends them again.
         """
 
     async def serve(self, request: messages.Request) -> messages.Response:
-        """Answers a request; cancelled when its caller has gone."""
+        """Answers a request; cancelled when the caller disconnects."""
 
     def refuse(self, error: errors.InvalidInputError) -> messages.Response:
-        """Returns the answer to a request that was not read whole."""
+        """Returns the response to a request that was not read whole."""
 
 
 @dataclasses.dataclass(slots=True)
-class Serving:
-    """What the connections of a port share.
+class PortState:
+    """State that the connections of a port share.
 
     Attributes:
-        handler: Who answers requests.
-        limits_of: What callers may send now.
-        connections: Those that are open.
+        handler: Answers requests.
+        limits_of: Returns the limits on callers' requests now in effect.
+        connections: Open connections.
     """
 
     handler: Handler
@@ -65,8 +66,8 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Turn:
-    """A request of a connection, and its answer once it is there."""
+class _PendingRequest:
+    """A request that was read, and its response once it is available."""
 
     request: messages.Request
     keeps_alive: bool
@@ -78,28 +79,29 @@
     """One connection of a caller.
 
     Args:
-        serving: What it shares with the others of its port.
+        port: State shared with the other connections of the port.
     """
 
-    def __init__(self, serving: Serving):
-        self._serving = serving
-        self._handler = serving.handler
+    def __init__(self, port: PortState):
+        self._port = port
+        self._handler = port.handler
         self._loop = asyncio.get_running_loop()
         self._parser = httptools.HttpRequestParser(self)
-        # The parser would accept a further request behind one that asked to
-        # close; nobody may smuggle one in there.
+        # By default the parser accepts a request after one with
+        # `connection: close`, which would allow request smuggling.
         self._parser.set_dangerous_leniencies(lenient_data_after_close=False)
         self._transport: asyncio.Transport | None = None
-        self._turns: collections.deque[_Turn] = collections.deque()
-        # Whether further requests are taken, and whether they are read now.
-        self._reads = True
-        self._paused = False
-        self._may_write = True
-        self._ends = False
+        self._pending: collections.deque[_PendingRequest] = collections.deque()
+        # Whether further requests are accepted, and whether reading is paused.
+        self._accepts_requests = True
+        self._reading_paused = False
+        self._writable = True
+        self._closes_when_idle = False
         self._in_message = False
         self._in_head = False
-        # Bytes that arrived since the last request, or a little more. Those
-        # of a head behind it in the same segment are not among them.
+        # Bytes received since the last request, or slightly more. Bytes of a
+        # head that begins in the same segment as the end of that request are
+        # not counted.
         self._head_bytes = 0
         self._head_shares_segment = False
         self._read_timer: asyncio.TimerHandle | None = None
@@ -110,30 +112,31 @@
     # ---- asyncio ---------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Starts the idle time."""
-        # The transports of uvloop are no subclasses of asyncio.Transport.
+        """Starts the idle timeout."""
+        # Transports of uvloop are not subclasses of asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
         sockets.watch_silence(transport.get_extra_info("socket"))
-        self._serving.connections.add(self)
+        self._port.connections.add(self)
         self._idle_since_s = self._loop.time()
-        self._wait_idle(self._serving.limits_of().idle_timeout_s)
+        self._schedule_idle_check(self._port.limits_of().idle_timeout_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stops the timers, and the work for this caller.
+        """Cancels the timers and the requests of this caller.
 
-        Nobody waits for the answers any more. Without this the work would go
-        on through all layers to the deadline, at the worst possible time.
+        The responses can't be delivered any more. Without the cancellation the
+        work would continue through all layers until the deadline, at the worst
+        possible time.
         """
-        self._reads = False
-        self._serving.connections.discard(self)
+        self._accepts_requests = False
+        self._port.connections.discard(self)
         self._stop_read_timer()
         if self._idle_timer is not None:
             self._idle_timer.cancel()
-        self._drop_turns()
+        self._cancel_pending()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what arrives."""
-        if not self._reads:
+        """Parses received bytes."""
+        if not self._accepts_requests:
             return
         self._head_bytes += len(data)
         if not self._in_message:
@@ -141,73 +144,74 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # It is answered like any other request; what follows is not HTTP.
+            # The request is answered like any other, but the bytes after it
+            # are not HTTP.
             self._stop_reading()
-            if self._turns:
-                self._turns[-1].keeps_alive = False
+            if self._pending:
+                self._pending[-1].keeps_alive = False
         except httptools.HttpParserError:
-            self._end_with(_plain(400, "The request is not valid HTTP."))
+            self._reject(_plain(400, "The request is not valid HTTP."))
             return
-        if self._in_message and self._reads:
-            self._bound_reading()
+        if self._in_message and self._accepts_requests:
+            self._limit_reading()
 
     def pause_writing(self) -> None:
-        """Reads no more requests of a caller who does not read answers."""
-        self._may_write = False
-        self._pace_reading()
+        """Pauses reading while the caller does not read its responses."""
+        self._writable = False
+        self._update_reading()
 
     def resume_writing(self) -> None:
-        """Reads on."""
-        self._may_write = True
-        self._pace_reading()
+        """Resumes reading."""
+        self._writable = True
+        self._update_reading()
 
     # ---- parser ----------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Begins a request."""
+        """Starts a new request."""
         self._begin_message()
         self._in_message = True
         self._in_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the target."""
+        """Adds a part of the target."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Adds a header."""
         known = header_names.KNOWN.get(name) or header_names.lowered(name)
         self._headers.append((known, value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Ends a head; one that is too large ends the connection."""
+        """Completes the head; one that is too large closes the connection."""
         self._in_head = False
         if self._read_timer is not None:
-            # The body has a time of its own.
+            # The body has a timeout of its own.
             self._stop_read_timer()
-        large = self._head_bytes > self._serving.limits_of().header_bytes
+        large = self._head_bytes > self._port.limits_of().header_bytes
         if large or self._head_shares_segment:
             self._check_head_size()
         self._head_bytes = 0
         self._target = self._url.decode("latin-1")
-        self._limit_bytes = self._handler.body_limit_bytes(self._target)
-        if self._reads and self._wants_to_be_asked():
+        self._body_limit_bytes = self._handler.body_limit_bytes(self._target)
+        if self._accepts_requests and self._expects_continue():
             assert self._transport is not None
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of a body."""
+        """Adds a part of the body."""
         self._body.append(body)
         self._body_bytes += len(body)
-        if self._body_bytes > self._limit_bytes and self._reads:
-            error = messages.BodyTooLargeError(self._limit_bytes)
-            self._end_with(self._handler.refuse(error))
+        if self._body_bytes > self._body_limit_bytes and self._accepts_requests:
+            error = messages.BodyTooLargeError(self._body_limit_bytes)
+            self._reject(self._handler.refuse(error))
 
     def on_message_complete(self) -> None:
-        """Ends a request, and lets it be served."""
+        """Completes a request and queues it for serving."""
         self._in_message = False
         self._head_bytes = 0
         self._head_shares_segment = True
-        if not self._reads:
+        if not self._accepts_requests:
             return
         if self._read_timer is not None:
             self._stop_read_timer()
@@ -220,86 +224,87 @@
         )
         keeps_alive = parser.should_keep_alive()
         if keeps_alive and parser.get_http_version() == "1.0":
-            # Such a caller would want to be told that it is kept open.
+            # An HTTP/1.0 caller expects the response to confirm keep-alive,
+            # which `messages.encode` does not do.
             keeps_alive = False
-        self._turns.append(_Turn(request, keeps_alive))
-        if len(self._turns) >= _MAX_OPEN_REQUESTS:
-            self._pace_reading()
-        self._start_turns()
+        self._pending.append(_PendingRequest(request, keeps_alive))
+        if len(self._pending) >= _MAX_OPEN_REQUESTS:
+            self._update_reading()
+        self._start_pending()
 
     # ---- serving ---------------------------------------------------------
 
     def close_when_idle(self) -> None:
-        """Ends it after the answers that are owed."""
-        self._ends = True
-        if not self._turns and not self._in_message:
+        """Closes the connection once all requests read are answered."""
+        self._closes_when_idle = True
+        if not self._pending and not self._in_message:
             self._close()
 
     @property
     def requests_open(self) -> int:
-        """Requests that were read and not answered."""
-        return len(self._turns)
+        """Number of requests that are read and not yet answered."""
+        return len(self._pending)
 
-    def _start_turns(self) -> None:
-        """Starts the first request, and those that may run beside it."""
+    def _start_pending(self) -> None:
+        """Starts the first request and those that may run concurrently."""
         first = True
-        for turn in self._turns:
-            begun = turn.task is not None or turn.response is not None
-            if not begun:
-                if not first and not self._handler.may_overlap(turn.request):
+        for queued in self._pending:
+            started = queued.task is not None or queued.response is not None
+            if not started:
+                if not first and not self._handler.may_overlap(queued.request):
                     return
-                turn.task = self._loop.create_task(self._serve(turn))
+                queued.task = self._loop.create_task(self._serve(queued))
             first = False
 
-    async def _serve(self, turn: _Turn) -> None:
+    async def _serve(self, queued: _PendingRequest) -> None:
         try:
-            turn.response = await self._handler.serve(turn.request)
+            queued.response = await self._handler.serve(queued.request)
         except Exception:
-            # Nobody knows how far it came, so the connection just ends: that
-            # promises nothing.
+            # It is unknown how far the request got. Closing the connection
+            # without a response makes no claim about that.
             _LOG.exception("a request failed; its connection is closed")
             self._close()
             return
-        self._answer_in_order()
+        self._write_responses()
 
-    def _answer_in_order(self) -> None:
-        """Writes the answers that are due."""
-        turns = self._turns
+    def _write_responses(self) -> None:
+        """Writes the responses that are next in request order."""
+        pending = self._pending
         if self._transport is None or self._transport.is_closing():
             return
-        while turns and turns[0].response is not None:
-            if not self._write_answer(turns.popleft()):
+        while pending and pending[0].response is not None:
+            if not self._write_response(pending.popleft()):
                 self._close()
                 return
-        if turns:
-            self._start_turns()
+        if pending:
+            self._start_pending()
         else:
             self._idle_since_s = self._loop.time()
-        if self._paused:
-            self._pace_reading()
+        if self._reading_paused:
+            self._update_reading()
 
-    def _write_answer(self, turn: _Turn) -> bool:
-        """Writes one answer; returns whether the connection goes on."""
-        response = turn.response
+    def _write_response(self, queued: _PendingRequest) -> bool:
+        """Writes one response; returns whether the connection stays open."""
+        response = queued.response
         assert response is not None
         assert self._transport is not None
-        closes = not turn.keeps_alive
-        if (response.closes or self._ends) and not self._turns:
-            # With one behind it that runs already, closing would cut that
-            # one off; its own answer closes then.
+        closes = not queued.keeps_alive
+        if (response.closes or self._closes_when_idle) and not self._pending:
+            # If a later request is already running, closing now would cut it
+            # off; its own response closes the connection then.
             closes = True
-        head_only = turn.request.method == "HEAD"
+        head_only = queued.request.method == "HEAD"
         self._transport.write(messages.encode(response, head_only, closes))
         return not closes
 
-    def _end_with(self, response: messages.Response) -> None:
-        """Answers what can't be read, behind the answers that are owed."""
-        if not self._reads:
+    def _reject(self, response: messages.Response) -> None:
+        """Queues the response to an invalid request and stops reading."""
+        if not self._accepts_requests:
             return
         self._stop_reading()
         request = messages.Request("", "", (), b"")
-        self._turns.append(_Turn(request, False, response=response))
-        self._answer_in_order()
+        self._pending.append(_PendingRequest(request, False, response=response))
+        self._write_responses()
 
     # ---- reading ---------------------------------------------------------
 
@@ -309,46 +314,49 @@
         self._headers: list[tuple[str, str]] = []
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._limit_bytes = 0
+        self._body_limit_bytes = 0
 
     def _check_head_size(self) -> None:
         size_bytes = len(self._url) + sum(
             len(name) + len(value) + 4 for name, value in self._headers
         )
-        if size_bytes > self._serving.limits_of().header_bytes:
-            self._end_with(_plain(431, "The request headers are too large."))
+        if size_bytes > self._port.limits_of().header_bytes:
+            self._reject(_plain(431, "The request headers are too large."))
 
-    def _wants_to_be_asked(self) -> bool:
-        """Whether the caller waits for a word before it sends the body."""
-        if self._turns:
+    def _expects_continue(self) -> bool:
+        """Whether the caller waits for 100 Continue before the body."""
+        if self._pending:
             return False
         for name, value in self._headers:
             if name == "expect":
                 return value.lower() == "100-continue"
         return False
 
-    def _bound_reading(self) -> None:
-        """Bounds the size and time of a request that is not whole yet.
+    def _limit_reading(self) -> None:
+        """Limits the size and read time of a request that is incomplete.
 
-        One slow or endless caller would hold memory for ever.
+        Without these limits, a slow caller or an endless request would hold
+        memory for ever.
         """
-        limits = self._serving.limits_of()
+        limits = self._port.limits_of()
         if self._in_head and self._head_bytes > limits.header_bytes:
-            self._end_with(_plain(431, "The request headers are too large."))
+            self._reject(_plain(431, "The request headers are too large."))
         elif self._read_timer is None:
             time_s = limits.header_timeout_s
             if not self._in_head:
                 time_s = limits.idle_timeout_s
-            self._read_timer = self._loop.call_later(time_s, self._too_slow)
+            self._read_timer = self._loop.call_later(
+                time_s, self._on_read_timeout
+            )
 
-    def _too_slow(self) -> None:
+    def _on_read_timeout(self) -> None:
         self._read_timer = None
         if self._in_head:
-            self._end_with(_plain(408, "The request headers took too long."))
+            self._reject(_plain(408, "The request headers took too long."))
             return
-        limit_s = self._serving.limits_of().idle_timeout_s
+        limit_s = self._port.limits_of().idle_timeout_s
         error = messages.BodyTooSlowError(limit_s)
-        self._end_with(self._handler.refuse(error))
+        self._reject(self._handler.refuse(error))
 
     def _stop_read_timer(self) -> None:
         if self._read_timer is not None:
@@ -356,54 +364,54 @@
             self._read_timer = None
 
     def _stop_reading(self) -> None:
-        self._reads = False
+        self._accepts_requests = False
         self._stop_read_timer()
-        self._pace_reading()
+        self._update_reading()
 
-    def _pace_reading(self) -> None:
-        """Reads while there is room for requests and answers."""
-        room = self._may_write and len(self._turns) < _MAX_OPEN_REQUESTS
-        paused = not (self._reads and room)
-        if paused == self._paused or self._transport is None:
+    def _update_reading(self) -> None:
+        """Pauses or resumes reading, by the room for requests and responses."""
+        room = self._writable and len(self._pending) < _MAX_OPEN_REQUESTS
+        paused = not (self._accepts_requests and room)
+        if paused == self._reading_paused or self._transport is None:
             return
-        self._paused = paused
+        self._reading_paused = paused
         if paused:
             self._transport.pause_reading()
         else:
             self._transport.resume_reading()
 
-    def _wait_idle(self, time_s: float) -> None:
+    def _schedule_idle_check(self, time_s: float) -> None:
         self._idle_timer = self._loop.call_later(time_s, self._check_idle)
 
     def _check_idle(self) -> None:
-        """Closes a connection that was idle for the time in force now.
+        """Closes the connection if the idle timeout in effect has passed.
 
-        It looks again when the rest of that time has passed. A timer for
-        each request would be started and stopped thousands of times for one
-        that fires.
+        Otherwise the check is scheduled again for the rest of the timeout. A
+        timer per request would be started and cancelled thousands of times for
+        each one that fires.
         """
-        idle_timeout_s = self._serving.limits_of().idle_timeout_s
-        if self._turns or self._in_message:
-            self._wait_idle(idle_timeout_s)
+        idle_timeout_s = self._port.limits_of().idle_timeout_s
+        if self._pending or self._in_message:
+            self._schedule_idle_check(idle_timeout_s)
             return
         left_s = self._idle_since_s + idle_timeout_s - self._loop.time()
         if left_s > 0.0:
-            self._wait_idle(left_s)
+            self._schedule_idle_check(left_s)
         else:
             self._close()
 
     def _close(self) -> None:
-        self._reads = False
+        self._accepts_requests = False
         if self._transport is not None:
             self._transport.close()
-        self._drop_turns()
+        self._cancel_pending()
 
-    def _drop_turns(self) -> None:
+    def _cancel_pending(self) -> None:
         current = asyncio.current_task(self._loop)
-        for turn in self._turns:
-            if turn.task is not None and turn.task is not current:
-                turn.task.cancel()
-        self._turns.clear()
+        for queued in self._pending:
+            if queued.task is not None and queued.task is not current:
+                queued.task.cancel()
+        self._pending.clear()
 
 
 def _plain(status: int, message: str) -> messages.Response:
--- a/packages/burdockfront-node/src/burdockfront_node/internal/http_port.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/http_port.py
@@ -1,16 +1,16 @@
-"""The ports on which requests are relayed: HTTP without a server library.
-
-Nearly all of a node's processor time goes into these requests. Between the
-parser and the code that decides, a general server turns each of them into a
-task, a dictionary and a handful of messages, and answers only one request of a
-connection at a time. Here the connection itself makes a `Request` from what
-the parser (`httptools`, that of the server library) finds, and writes one
-`Response`. With its server library a node called 550 to 620 functions for a
-relayed request, 0.35 ms; see docs/design/data-path.md for what it is now.
-
-Requests that a caller sends before the first answer are served side by side
-where that does no harm, and answered in their order. Served one after the
-other, three status checks of 0.6 s took 1.8 s, though none of them was slow.
+"""HTTP ports on which a node relays requests, without a server library.
+
+Nearly all of a node's CPU time goes into relayed requests. A general ASGI
+server turns each request into a task, a dictionary and several messages before
+the node's own code runs, and serves only one request of a connection at a time.
+Here the connection builds a `Request` directly from the output of the parser
+(`httptools`, which the server library uses too) and writes one `Response`. With
+the server library, relaying a request took 550 to 620 function calls and
+0.35 ms; see docs/design/data-path.md for the current figures.
+
+Pipelined requests of a connection are served concurrently where they are safe
+to repeat, and answered in request order. Served sequentially, three status
+checks of 0.6 s each took 1.8 s, although none of them was slow.
 """
 
 import asyncio
@@ -25,12 +25,13 @@
 
 
 class Port:
-    """Serves the requests of one address.
+    """HTTP server at one address.
 
     Args:
-        handler: Who answers them.
+        handler: Answers the requests.
         address: `ip:port`.
-        limits_of: What callers may send now; the defaults without it.
+        limits_of: Returns the limits on callers' requests now in effect; by
+            default those of `routes.CallerLimits`.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         address: str,
         limits_of: http_connection.LimitsOf = routes.CallerLimits,
     ):
-        self._serving = http_connection.Serving(handler, limits_of)
+        self._port = http_connection.PortState(handler, limits_of)
         self._address = address
         self._server: asyncio.Server | None = None
 
@@ -53,24 +54,30 @@
 
     @property
     def requests_open(self) -> int:
-        """Requests that are being served."""
-        return sum(known.requests_open for known in self._serving.connections)
+        """Number of requests that are read and not yet answered."""
+        return sum(
+            connection.requests_open for connection in self._port.connections
+        )
 
     def close(self) -> None:
-        """Takes no new connections, and ends each kept one when idle."""
+        """Stops accepting connections and closes each open one when idle."""
         if self._server is not None:
             self._server.close()
-        for connection in list(self._serving.connections):
+        for connection in list(self._port.connections):
             connection.close_when_idle()
 
     def _new_connection(self) -> http_connection.Connection:
-        return http_connection.Connection(self._serving)
+        return http_connection.Connection(self._port)
 
 
 async def listen(
     protocol: Callable[[], asyncio.Protocol], address: str
 ) -> asyncio.Server:
-    """Opens a port for connections of a protocol.
+    """Listens for connections at an address.
+
+    Args:
+        protocol: Creates the protocol of a new connection.
+        address: `ip:port`.
 
     Raises:
         SettingsError: The port can't be opened.
@@ -84,6 +91,6 @@
     except OSError as error:
         raise errors.SettingsError(
             f"can't listen at {address} ({error}); correct the address in "
-            f"the settings, or end the process that has it."
+            f"the settings, or stop the process that uses it."
         ) from None
     return server
