--- a/packages/burdockfront-node/src/burdockfront_node/internal/__init__.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that are not part of the public surface."""
+"""Modules that are not part of the public interface."""
--- a/packages/burdockfront-node/src/burdockfront_node/operators.py
+++ b/packages/burdockfront-node/src/burdockfront_node/operators.py
@@ -1,4 +1,4 @@
-"""What operators may ask and command, on the internal port."""
+"""Queries and commands of operators on the internal port."""
 
 import time
 from typing import Any
@@ -7,28 +7,32 @@
 from burdockfront import timeline
 from burdockfront_node import daemon_parts
 
-_MOST_EVENTS = 5_000
+_MAX_EVENTS = 5_000
 
 
 class Operators:
-    """Handlers of the operators' endpoints of one node."""
+    """Handlers of the operator endpoints of one node.
+
+    Args:
+        parts: Components of the node.
+    """
 
     def __init__(self, parts: "daemon_parts.Parts"):
         self._parts = parts
 
     async def status(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Returns what this node knows and does."""
+        """Returns the state of this node and its metrics."""
         parts = self._parts
-        me = parts.exchange.membership.local_member
+        member = parts.exchange.membership.local_member
         configuration = parts.exchange.configuration
         return {
-            "node": me.node_id,
-            "boot": me.boot_id,
-            "data_center": me.data_center,
-            "region": me.region,
-            "service": me.service,
+            "node": member.node_id,
+            "boot": member.boot_id,
+            "data_center": member.data_center,
+            "region": member.region,
+            "service": member.service,
             "ready": parts.ready.is_set(),
-            "draining": me.draining,
+            "draining": member.draining,
             "watching": parts.policies.watching(),
             "in_flight": parts.guard.in_flight,
             "level": parts.guard.level(),
@@ -53,7 +57,7 @@
         }
 
     async def members(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Returns the members as this node knows them."""
+        """Returns the members in this node's membership table."""
         members = self._parts.exchange.membership.members()
         return {
             "members": [
@@ -74,7 +78,7 @@
         }
 
     async def policy(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Returns the document in force of a service."""
+        """Returns the policy document in effect for a service."""
         service = message["service"]
         configuration = self._parts.exchange.configuration
         applied = configuration.applied().get(service)
@@ -88,7 +92,7 @@
         }
 
     async def change(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Changes one field of a document."""
+        """Changes one field of a policy document."""
         result = await self._parts.policies.change(
             service=message["service"],
             path=message["path"],
@@ -109,34 +113,34 @@
         return result
 
     async def history(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Returns the history of a document."""
+        """Returns the change history of a policy document."""
         lines = await self._parts.policies.history(message["service"])
         return {"lines": lines}
 
     async def events(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Returns events of this process that match a filter."""
-        most = min(int(message.get("most", 500)), _MOST_EVENTS)
-        wanted = timeline.Filter(
+        """Returns recorded events of this process that match a filter."""
+        limit = min(int(message.get("most", 500)), _MAX_EVENTS)
+        matching = timeline.Filter(
             request=message.get("request", ""),
             node=message.get("node", ""),
             data_center=message.get("data_center", ""),
             kind=message.get("kind", ""),
         )
-        found = self._parts.recorder.select(wanted, most)
-        return {"events": [event.to_json() for event in found]}
+        events = self._parts.recorder.select(matching, limit)
+        return {"events": [event.to_json() for event in events]}
 
     async def release(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Lets a request run again that is refused for crashes."""
+        """Acquits a quarantined request of all its crashes."""
         fingerprint = str(message["fingerprint"])
-        news = self._parts.exchange.crash_news
-        entries = news.book.release_of(fingerprint, time.time())
+        gossip = self._parts.exchange.crash_news
+        entries = gossip.book.release_of(fingerprint, time.time())
         if not entries:
             raise errors.InvalidInputError(
                 f"no crash counts against {fingerprint!r} at this node; 'show "
-                f"quarantine' lists what is refused."
+                f"quarantine' lists the quarantined requests."
             )
         for entry in entries:
-            news.tell(entry)
+            gossip.tell(entry)
         self._parts.recorder.record(
             time.time(),
             "operator.released",
@@ -147,20 +151,20 @@
         return {"crashes": len(entries)}
 
     async def drain(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Drains this node's backend server, or takes that back."""
-        wanted = message["draining"]
-        if not isinstance(wanted, bool):
+        """Starts or ends the draining of this node's backend server."""
+        draining = message["draining"]
+        if not isinstance(draining, bool):
             raise errors.InvalidInputError(
-                f"expected draining as true or false, got {wanted!r}."
+                f"expected draining as true or false, got {draining!r}."
             )
-        if wanted:
+        if draining:
             self._parts.guard.drain()
         else:
             self._parts.guard.resume()
         self._parts.backends.publish()
         self._parts.recorder.record(
             time.time(),
-            "operator.drain" if wanted else "operator.undrain",
+            "operator.drain" if draining else "operator.undrain",
             who=str(message.get("who", "")),
         )
         return {"draining": self._parts.guard.draining}
--- a/packages/burdockfront-node/src/burdockfront_node/problems.py
+++ b/packages/burdockfront-node/src/burdockfront_node/problems.py
@@ -1,4 +1,4 @@
-"""Answers that are not a backend server's: problem details (RFC 9457)."""
+"""Answers that a node gives itself, as problem details (RFC 9457)."""
 
 import math
 
@@ -42,7 +42,7 @@
 
 
 def of_error(error: errors.BurdockfrontError) -> outcomes.Answer:
-    """Returns the refusal for input that is not valid."""
+    """Returns the answer that rejects invalid input."""
     status = 400
     reason = outcomes.Reason.BAD_REQUEST
     if isinstance(error, errors.AuthenticationError):
@@ -64,7 +64,7 @@
 def to_http(
     entry: base.Entry, answer: outcomes.Answer
 ) -> tuple[list[tuple[str, str]], bytes]:
-    """Returns headers and body for the caller."""
+    """Returns the headers and body of the HTTP response to the caller."""
     headers = [(wire.OUTCOME, answer.outcome.value)]
     if entry.request_id:
         headers.append((wire.REQUEST_ID, entry.request_id))
@@ -76,7 +76,7 @@
     headers.append((wire.REASON, answer.reason.value))
     headers.append(("Content-Type", "application/problem+json"))
     if answer.retry_after_s is not None:
-        # The header takes whole seconds only; the body is exact.
+        # The header allows whole seconds only; the body has the exact value.
         whole_s = math.ceil(answer.retry_after_s)
         headers.append(("Retry-After", str(whole_s)))
     problem = {
--- a/packages/burdockfront-node/src/burdockfront_node/servers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/servers.py
@@ -1,6 +1,6 @@
-"""HTTP servers inside the daemon's own event loop, for what is asked seldom.
+"""ASGI servers in the daemon's own event loop, for ports with little traffic.
 
-The ports on which requests are relayed are `internal.http_port`.
+`internal.http_port` serves the ports on which requests are relayed.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 
 
 class Server(uvicorn.Server):
-    """A server that leaves signals to the daemon.
+    """Uvicorn server that leaves signal handling to the daemon.
 
-    The library's own handling would close all connections at SIGTERM; a
-    planned stop must first let everybody know and finish what runs.
+    Uvicorn would close all connections at SIGTERM; a planned stop must first
+    announce the shutdown and finish the requests in flight.
     """
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Captures none."""
+        """Installs no signal handlers."""
         yield
 
 
@@ -37,23 +37,23 @@
 
 
 class Protocol(httptools_impl.HttpToolsProtocol):
-    """The library's connections, which notice that the other side is silent."""
+    """Uvicorn connection that detects a peer that has stopped answering."""
 
     def connection_made(self, transport: Any) -> None:
-        """Sets the options of the socket."""
+        """Sets the socket options that detect a dead connection."""
         super().connection_made(transport)
         sockets.watch_silence(transport.get_extra_info("socket"))
 
 
 class Listener:
-    """Serves an ASGI application, without a task of its own.
+    """Serves an ASGI application without a task of its own.
 
-    The library's server looks ten times a second whether it should end. With
-    several ports per node and many nodes that is a lot of waking up for a
-    thing that happens once.
+    Uvicorn's server checks ten times per second whether it should exit. With
+    several ports per node and many nodes, that causes many wake-ups for an
+    event that happens once.
 
     Args:
-        app: The application.
+        app: ASGI application.
         address: `ip:port`.
     """
 
@@ -76,11 +76,11 @@
 
     @property
     def requests_open(self) -> int:
-        """Requests that are being served."""
+        """Number of requests in flight."""
         return len(self._state.tasks)
 
     def close(self) -> None:
-        """Takes no new connections, and ends each kept one when idle."""
+        """Stops accepting connections and closes each open one when idle."""
         if self._server is not None:
             self._server.close()
         for connection in list(self._state.connections):
