--- a/packages/burdockfront-node/src/burdockfront_node/internal_app.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal_app.py
@@ -1,7 +1,7 @@
-"""The internal port: calls of nodes, exchange of state, announcements.
+"""The internal port: calls between nodes, gossip, announcements, operators.
 
-Callers never reach it. Calls carry a signed context; everything else wants
-one of the peer keys (operators: one of the operator keys) as bearer token.
+Callers have no access to this port. Calls carry a signed context; all other
+requests need a peer key (operators: an operator key) as bearer token.
 """
 
 import time
@@ -28,18 +28,18 @@
 from burdockfront_node.internal import messages
 
 JsonHandler = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
-_LARGEST_BODY_BYTES = 16_000_000
+_MAX_BODY_BYTES = 16_000_000
 _BEARER = "Bearer "
 
 
 class CallHandler:
-    """Answers calls of other nodes to this node's backend server.
+    """Serves calls of other nodes to this node's backend server.
 
     Args:
-        guard: Protects the backend server.
-        keys: Keys that sign contexts and tickets.
-        recorder: Its clock travels with calls.
-        rest: Answers everything else that comes to the port.
+        guard: Runs the calls at the backend server.
+        keys: Verify the signatures of contexts and tickets.
+        recorder: Provides the clock whose stamps are exchanged with calls.
+        fallback: Answers all requests of the port that are not calls.
     """
 
     def __init__(
@@ -47,66 +47,66 @@
         guard: guard_lib.Guard,
         keys: keyring_lib.KeyRing,
         recorder: timeline.Recorder,
-        rest: applications.Starlette,
+        fallback: applications.Starlette,
     ):
         self._guard = guard
         self._keys = keys
         self._clock = recorder.clock
-        self._rest = rest
+        self._fallback = fallback
 
     def body_limit_bytes(self, target: str) -> int:
-        """Returns the most that any service takes."""
-        return _LARGEST_BODY_BYTES
+        """Returns the maximum body size over all services."""
+        return _MAX_BODY_BYTES
 
     def may_overlap(self, request: messages.Request) -> bool:
-        """Nodes wait for an answer before they send on a connection again."""
+        """Returns False: nodes do not pipeline requests."""
         return False
 
     async def serve(self, request: messages.Request) -> messages.Response:
-        """Answers a call, or passes everything else on."""
+        """Runs a call, or passes any other request to the fallback."""
         if not request.target.startswith(wire.CALL_PREFIX):
-            return await asgi.call(self._rest, request)  # type: ignore[arg-type]
+            return await asgi.call(self._fallback, request)  # type: ignore[arg-type]
         try:
             attempt = self._attempt_of(request)
         except errors.BurdockfrontError as error:
             return messages.Response(403, (), str(error).encode())
         answer = await self._guard.handle(attempt)
         stamp = self._clock.tick(time.time())
-        described = wire.encode_answer(
+        description = wire.encode_answer(
             answer, attempt.context.attempt_id, stamp
         )
-        headers = (*answer.headers, (wire.ANSWER, described))
+        headers = (*answer.headers, (wire.ANSWER, description))
         return messages.Response(answer.status, headers, answer.body)
 
     def refuse(self, error: errors.InvalidInputError) -> messages.Response:
-        """Returns the answer to a call that was not read whole."""
+        """Returns the response to a request that was not read whole."""
         return messages.Response(403, (), str(error).encode())
 
     def _attempt_of(self, request: messages.Request) -> calls.Attempt:
-        told = wire.read_call(request.headers)
-        context = context_lib.decode(told.context, self._keys)
-        wire.restore_id(context, told.headers)
-        self._clock.observe(told.stamp, time.time())
+        received = wire.read_call(request.headers)
+        context = context_lib.decode(received.context, self._keys)
+        wire.restore_id(context, received.headers)
+        self._clock.observe(received.stamp, time.time())
         ticket = None
-        if told.ticket:
-            ticket = tickets.decode(told.ticket, self._keys)
-        rest = request.target[len(wire.CALL_PREFIX) :]
-        service, slash, target = rest.partition("/")
+        if received.ticket:
+            ticket = tickets.decode(received.ticket, self._keys)
+        remainder = request.target[len(wire.CALL_PREFIX) :]
+        service, slash, target = remainder.partition("/")
         call = calls.Call(
             service=service,
             method=request.method,
             target=slash + target,
-            headers=told.headers,
+            headers=received.headers,
             body=request.body,
             context=context,
             deadline_s=request.arrived_s + context.remaining_s,
             pool=calls.allowance.AllowancePool(context.allowance),
-            repeatable=told.mark.repeatable,
-            host=told.mark.host,
-            origin_service=told.mark.origin_service,
-            account=told.mark.account,
+            repeatable=received.mark.repeatable,
+            host=received.mark.host,
+            origin_service=received.mark.origin_service,
+            account=received.mark.account,
         )
-        return calls.Attempt(call, context, ticket, told.report)
+        return calls.Attempt(call, context, ticket, received.report)
 
 
 def json_route(
@@ -115,13 +115,20 @@
     on_denied: Callable[[str], None],
     handler: JsonHandler,
 ) -> routing.Route:
-    """Returns a route that takes and gives JSON, for holders of a key."""
+    """Returns a route for JSON requests that is protected by bearer keys.
+
+    Args:
+        path: Path of the route.
+        keys: Returns the accepted keys.
+        on_denied: Called with the path when the key is missing or wrong.
+        handler: Returns the JSON response to a JSON request.
+    """
 
     async def endpoint(request: requests.Request) -> responses.Response:
         presented = request.headers.get("authorization", "")
         if not keys().accepts(presented.removeprefix(_BEARER)):
             on_denied(path)
-            return _refusal(
+            return _error(
                 401,
                 "AuthenticationError",
                 f"the key for {path} is missing or wrong; present one of the "
@@ -133,20 +140,20 @@
             if compression.ENCODING in request.headers.get(
                 "accept-encoding", ""
             ):
-                return _packed(answer)
+                return _compressed_json(answer)
             return _json(200, answer)
         except errors.RevisionConflictError as error:
-            return _refusal(409, type(error).__name__, str(error))
+            return _error(409, type(error).__name__, str(error))
         except errors.PlatformError as error:
-            return _refusal(503, type(error).__name__, str(error))
+            return _error(503, type(error).__name__, str(error))
         except errors.BurdockfrontError as error:
-            return _refusal(400, type(error).__name__, str(error))
+            return _error(400, type(error).__name__, str(error))
         except (AttributeError, LookupError, TypeError, ValueError) as error:
-            return _refusal(
+            return _error(
                 400,
                 "InvalidInputError",
-                f"expected a JSON message as {path} documents it, got one "
-                f"with {error!r}; both sides must run compatible releases.",
+                f"expected a valid JSON message for {path}, got one that "
+                f"raised {error!r}; both sides must run compatible releases.",
             )
 
     return routing.Route(path, endpoint, methods=["POST"])
@@ -156,13 +163,13 @@
     body = compression.unpack(
         await request.body(),
         request.headers.get("content-encoding", ""),
-        _LARGEST_BODY_BYTES,
+        _MAX_BODY_BYTES,
     )
     message: dict[str, Any] = orjson.loads(body) if body else {}
     return message
 
 
-def _packed(document: dict[str, Any]) -> responses.Response:
+def _compressed_json(document: dict[str, Any]) -> responses.Response:
     body, encoding = compression.pack(orjson.dumps(document))
     headers = {"Content-Encoding": encoding} if encoding else None
     return responses.Response(body, 200, headers, media_type="application/json")
@@ -174,5 +181,5 @@
     )
 
 
-def _refusal(status: int, kind: str, message: str) -> responses.Response:
+def _error(status: int, kind: str, message: str) -> responses.Response:
     return _json(status, {"error": kind, "message": message})
--- a/packages/burdockfront-node/src/burdockfront_node/internal_handlers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal_handlers.py
@@ -1,4 +1,4 @@
-"""What the internal port answers besides calls: peers, operators, servers."""
+"""Handlers of the internal port for peers, operators and backend servers."""
 
 import logging
 import time
@@ -20,10 +20,10 @@
 
 
 class InternalHandlers:
-    """Handlers of one node, by path.
+    """Request handlers of one node, by path.
 
     Args:
-        parts: The parts of the node.
+        parts: Components of the node.
         status: Looks up tickets.
         keys: Keys of peers and backend servers.
         operator_keys: Keys of operators.
@@ -44,11 +44,11 @@
     def application(
         self, more_for_peers: Handlers, more_for_operators: Handlers
     ) -> internal_app.applications.Starlette:
-        """Returns the application that answers everything but calls.
+        """Returns the application that answers all requests except calls.
 
         Args:
-            more_for_peers: What this kind of node answers peers besides.
-            more_for_operators: The same for operators.
+            more_for_peers: Further handlers of this kind of node for peers.
+            more_for_operators: Further handlers for operators.
         """
         for_peers = {**self._for_peers(), **more_for_peers}
         for_operators = {**self._for_operators(), **more_for_operators}
@@ -69,13 +69,13 @@
     def _for_peers(self) -> Handlers:
         exchange = self._parts.exchange
         return {
-            exchange_lib.PROBE: _plain(exchange.on_probe),
+            exchange_lib.PROBE: _asynchronous(exchange.on_probe),
             exchange_lib.PROBE_FOR: exchange.on_probe_for,
-            exchange_lib.PUSH: _plain(exchange.on_push),
-            exchange_lib.SYNC: _plain(exchange.repairs.on_sync),
-            ticket_status.PATH: _plain(self._on_ticket),
-            "/backend/announce": _plain(self._on_announce),
-            "/backend/targets": _plain(self._on_targets),
+            exchange_lib.PUSH: _asynchronous(exchange.on_push),
+            exchange_lib.SYNC: _asynchronous(exchange.repairs.on_sync),
+            ticket_status.PATH: _asynchronous(self._on_ticket),
+            "/backend/announce": _asynchronous(self._on_announce),
+            "/backend/targets": _asynchronous(self._on_targets),
         }
 
     def _for_operators(self) -> Handlers:
@@ -97,16 +97,16 @@
         return {}
 
     def _on_targets(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Tells an embedded router what membership and policy are now."""
+        """Returns the current members and policies, for an embedded router."""
         exchange = self._parts.exchange
-        applied = exchange.configuration.applied().values()
+        policies = exchange.configuration.applied().values()
         return {
             "members": [
-                m.to_entry().to_json()
-                for m in exchange.membership.usable()
-                if m.service
+                member.to_entry().to_json()
+                for member in exchange.membership.usable()
+                if member.service
             ],
-            "policies": [a.document for a in applied],
+            "policies": [policy.document for policy in policies],
         }
 
     def _on_ticket(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -116,13 +116,15 @@
 
     def _denied(self, path: str) -> None:
         self._parts.recorder.record(time.time(), "key.denied", path=path)
-        _LOG.warning("wrong key", extra={"path": path})
+        _LOG.warning(
+            "request with a missing or wrong key", extra={"path": path}
+        )
 
 
-def _plain(
+def _asynchronous(
     handler: Callable[[dict[str, Any]], dict[str, Any]],
 ) -> internal_app.JsonHandler:
-    async def asynchronous(message: dict[str, Any]) -> dict[str, Any]:
+    async def asynchronous_handler(message: dict[str, Any]) -> dict[str, Any]:
         return handler(message)
 
-    return asynchronous
+    return asynchronous_handler
