--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -33,7 +33,9 @@
 from burdockfront_node.controllers import joins
 from burdockfront_node.controllers import peer_link
 from burdockfront_node.controllers import repairs as repairs_lib
-from burdockfront_node.controllers import route_news as route_news_lib
+from burdockfront_node.controllers import (
+    route_announcements as route_announcements_lib,
+)
 
 PROBE = "/peer/probe"
 PROBE_FOR = "/peer/probe-for"
@@ -130,7 +132,7 @@
             self._news.set,
             recorder,
         )
-        self._route_news = route_news_lib.RouteNews(
+        self._route_news = route_announcements_lib.RouteAnnouncer(
             membership, self._push_routes, settings.fanout, recorder, rng
         )
         rate = settings.members_bytes_per_s / 2
@@ -186,7 +188,7 @@
         Args:
             first: Nobody of the own data centre told this node.
         """
-        self._route_news.tell(self.routes().version, first)
+        self._route_news.announce(self.routes().version, first)
 
     # ---- tasks ---------------------------------------------------------
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_news.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_announcements.py
@@ -36,7 +36,7 @@
 Push = Callable[[members_lib.Member], Coroutine[Any, Any, bool]]
 
 
-class RouteNews:
+class RouteAnnouncer:
     """Tells a few members, and makes up for those who don't answer.
 
     Args:
@@ -66,7 +66,7 @@
         self._silent: set[str] = set()
         self._has_told = False
 
-    def tell(self, version: int, first: bool) -> None:
+    def announce(self, version: int, first: bool) -> None:
         """Tells others at once, and no longer of the version before.
 
         Args:
@@ -79,9 +79,9 @@
         # store; were each to tell all data centres, a start would cost most.
         first = first and self._has_told
         self._has_told = True
-        self._telling = asyncio.create_task(self._tell(version, first))
+        self._telling = asyncio.create_task(self._announce(version, first))
 
-    async def _tell(self, version: int, first: bool) -> None:
+    async def _announce(self, version: int, first: bool) -> None:
         self._silent = set()
         everybody = len(self._membership.members())
         near = self._membership.near_peers(everybody)
--- a/tests/unit/test_route_news.py
+++ b/tests/unit/test_route_announcements.py
@@ -9,7 +9,7 @@
 from burdockfront import membership as membership_lib
 from burdockfront import timeline
 from burdockfront_bench import virtual_time
-from burdockfront_node.controllers import route_news
+from burdockfront_node.controllers import route_announcements
 from tests import builders
 
 _FANOUT = 3
@@ -34,7 +34,7 @@
         self.reached_s: dict[str, float] = {}
         self.asked: list[str] = []
         self.recorder = timeline.Recorder("n0", "dc0", 100)
-        self.news = route_news.RouteNews(
+        self.announcer = route_announcements.RouteAnnouncer(
             self.known, self._push, _FANOUT, self.recorder, rng
         )
 
@@ -57,11 +57,11 @@
 
 
 async def _tell_and_wait(place: _Place, first: bool = True) -> None:
-    place.news.tell(1, False)
+    place.announcer.announce(1, False)
     await asyncio.sleep(5.0)
     place.reached_s.clear()
     place.asked.clear()
-    place.news.tell(2, first)
+    place.announcer.announce(2, first)
     await asyncio.sleep(5.0)
 
 
@@ -119,7 +119,7 @@
 
     async def scenario() -> list[str]:
         place = _Place(20, set())
-        place.news.tell(1, True)
+        place.announcer.announce(1, True)
         await asyncio.sleep(5.0)
         return place.asked
 
@@ -143,7 +143,7 @@
     async def scenario() -> int:
         place = _Place(20, set())
         for version in range(20):
-            place.news.tell(version, True)
+            place.announcer.announce(version, True)
             await asyncio.sleep(0.01)
         await asyncio.sleep(5.0)
         return len(place.asked)
--- a/tests/unit/test_time_budgets.py
+++ b/tests/unit/test_time_budgets.py
@@ -13,8 +13,8 @@
 from burdockfront_node import routed_daemon
 from burdockfront_node.controllers import exchange
 from burdockfront_node.controllers import quota_exchange
+from burdockfront_node.controllers import route_announcements
 from burdockfront_node.controllers import route_checks
-from burdockfront_node.controllers import route_news
 from burdockfront_node.controllers import route_peers
 from burdockfront_node.controllers import route_watch
 
@@ -32,7 +32,7 @@
 _PROBE_S = 1.0
 _PROBE_TIMEOUT_S = 0.4
 # Whoever is drawn first to be told is gone, and so is a peer that told.
-_GONE_S = route_news.PATIENCE_S + route_peers.PATIENCE_S
+_GONE_S = route_announcements.PATIENCE_S + route_peers.PATIENCE_S
 
 
 def _asked_within_s(nodes: int, lost: int, strikes: int) -> float:
