--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_intake.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_activation.py
@@ -12,7 +12,7 @@
 ReadTable = Callable[[store_lib.Item], routes.RouteTable | None]
 
 
-class RouteIntake:
+class RouteActivator:
     """Takes tables, newer ones only, and says so.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -36,9 +36,9 @@
 from burdockfront import timeline
 from burdockfront_node.controllers import other_nodes
 from burdockfront_node.controllers import peer_link
+from burdockfront_node.controllers import route_activation
 from burdockfront_node.controllers import route_checks
 from burdockfront_node.controllers import route_freshness
-from burdockfront_node.controllers import route_intake
 from burdockfront_node.controllers import route_peers
 from burdockfront_node.controllers import store as store_lib
 from burdockfront_node.controllers import store_watch
@@ -85,7 +85,7 @@
         self,
         store: store_lib.StoreClient,
         prefix: str,
-        read_table: route_intake.ReadTable,
+        read_table: route_activation.ReadTable,
         book: routes.RouteResolver,
         link: peer_link.PeerLink,
         recorder: timeline.Recorder,
@@ -107,7 +107,7 @@
             store, prefix, self._confirm, self._on_duty
         )
         self._heard: tuple[str, int] | None = None
-        self._intake = route_intake.RouteIntake(
+        self._intake = route_activation.RouteActivator(
             read_table,
             book,
             recorder,
