--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_choice.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/allocator_selection.py
@@ -12,7 +12,7 @@
 _LOST_FOR_S = 600.0
 
 
-class KeeperChoice:
+class AllocatorSelector:
     """Chooses the keeper of one node.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -18,8 +18,8 @@
 from burdockfront import quota_allocator
 from burdockfront import quotas
 from burdockfront import timeline
+from burdockfront_node.controllers import allocator_selection
 from burdockfront_node.controllers import exchange as exchange_lib
-from burdockfront_node.controllers import quota_choice
 from burdockfront_node.controllers import quota_limits
 from burdockfront_node.controllers import quota_wire
 
@@ -73,7 +73,9 @@
         self._local = local_quotas.LocalQuotas(limits, rng)
         self._waiting: dict[tuple[str, int], list[asyncio.Future[float]]] = {}
         self._due = asyncio.Event()
-        self._choice = quota_choice.KeeperChoice(exchange.membership)
+        self._choice = allocator_selection.AllocatorSelector(
+            exchange.membership
+        )
         self._keeper_id = ""
         self.refused: collections.Counter[str] = collections.Counter()
 
