--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -59,7 +59,7 @@
     def __init__(
         self,
         exchange: exchange_lib.Exchange,
-        limits: quota_limits.BookLimits,
+        limits: quota_limits.AccountLimits,
         recorder: timeline.Recorder,
         rng: random.Random,
         ready: asyncio.Event,
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_limits.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_limits.py
@@ -7,7 +7,7 @@
 _NEW_FOR_S = 3.0
 
 
-class BookLimits:
+class AccountLimits:
     """The limits of the table in force.
 
     Args:
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -107,7 +107,7 @@
         )
         self._quotas = quota_exchange_lib.QuotaExchange(
             self._exchange,
-            quota_limits.BookLimits(self._book, self._place.quota_slack),
+            quota_limits.AccountLimits(self._book, self._place.quota_slack),
             self._recorder,
             self._rng,
             self._ready,
--- a/tests/unit/test_quota_exchange.py
+++ b/tests/unit/test_quota_exchange.py
@@ -68,7 +68,7 @@
         ready.set()
         node = quota_exchange.QuotaExchange(
             _Exchange(number, count, link),
-            quota_limits.BookLimits(book, 20.0),
+            quota_limits.AccountLimits(book, 20.0),
             timeline.Recorder(f"n{number}", "dc1", 100),
             random.Random(number),
             ready,
