--- a/packages/burdockfront-node/src/burdockfront_node/controllers/platform.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/platform.py
@@ -157,7 +157,7 @@
     ) -> dict[str, Any]:
         await self._take_budget(_PATIENCE_S if patient else 0.0)
         reply = await self.link.ask(
-            store_link.Question(method, target, body),
+            store_link.StoreRequest(method, target, body),
             wait_s + self._settings.timeout_s,
             _REFUSALS,
         )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/store.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/store.py
@@ -129,26 +129,26 @@
 
     def page(
         self, prefix: str, after_key: str, stale: bool
-    ) -> store_link.Question:
+    ) -> store_link.StoreRequest:
         """Asks for a page of items."""
 
     def watch(
         self, prefix: str, after: int, wait_s: float
-    ) -> store_link.Question:
+    ) -> store_link.StoreRequest:
         """Asks for changes after a revision."""
 
     def write(
         self, writes: tuple[Write, ...], conditions: tuple[Condition, ...]
-    ) -> store_link.Question:
+    ) -> store_link.StoreRequest:
         """Writes all or nothing."""
 
-    def grant(self, duration_s: float) -> store_link.Question:
+    def grant(self, duration_s: float) -> store_link.StoreRequest:
         """Asks for a lease."""
 
-    def renew(self, lease_id: int) -> store_link.Question:
+    def renew(self, lease_id: int) -> store_link.StoreRequest:
         """Renews a lease."""
 
-    def end(self, lease_id: int) -> store_link.Question:
+    def end(self, lease_id: int) -> store_link.StoreRequest:
         """Ends a lease, and its keys with it."""
 
     def read_page(self, data: dict[str, Any]) -> Page:
@@ -294,7 +294,7 @@
         await self.link.close()
 
     async def _ask(
-        self, question: store_link.Question, timeout_s: float
+        self, question: store_link.StoreRequest, timeout_s: float
     ) -> dict[str, Any]:
         reply = await self.link.ask(question, timeout_s, _REFUSALS)
         _raise_refusal(reply.status)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/store_link.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/store_link.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
+class StoreRequest:
     """A call as it goes on the wire."""
 
     method: str
@@ -85,7 +85,7 @@
 
     async def ask(
         self,
-        question: Question,
+        question: StoreRequest,
         timeout_s: float,
         refusals: Set[int] = frozenset(),
     ) -> StoreReply:
@@ -150,7 +150,7 @@
         await self._peers.close()
 
 
-def _kind_of(question: Question) -> str:
+def _kind_of(question: StoreRequest) -> str:
     path = question.target.partition("?")[0]
     return path.strip("/").partition("/")[0]
 
