--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -160,7 +160,7 @@
         dealt = self.keeper.on_report(
             report, self._choice.nodes(), time.monotonic()
         )
-        return quota_wire.write_dealt(dealt)
+        return quota_wire.write_allocation(dealt)
 
     async def _wait(self) -> None:
         try:
@@ -205,7 +205,7 @@
                     quota_wire.write_report(report),
                     TIMEOUT_S,
                 )
-                dealt = quota_wire.read_dealt(answer)
+                dealt = quota_wire.read_allocation(answer)
             except (errors.DispatchError, errors.InvalidInputError) as error:
                 self._choice.avoid(keeper.node_id)
                 _LOG.info(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -46,7 +46,7 @@
         raise _unreadable("a report of quotas", error) from None
 
 
-def write_dealt(dealt: quotas.Allocation) -> dict[str, Any]:
+def write_allocation(dealt: quotas.Allocation) -> dict[str, Any]:
     """Returns an answer as it travels."""
     return {
         "g": [
@@ -57,7 +57,7 @@
     }
 
 
-def read_dealt(data: dict[str, Any]) -> quotas.Allocation:
+def read_allocation(data: dict[str, Any]) -> quotas.Allocation:
     """Reads an answer.
 
     Raises:
