--- a/packages/burdockfront-node/src/burdockfront_node/account_status.py
+++ b/packages/burdockfront-node/src/burdockfront_node/account_status.py
@@ -34,9 +34,9 @@
         """Returns all accounts as this node knows them."""
         return {
             "routes": self._book.version,
-            "keeper": self._quotas.keeper_id,
-            "reporters": self._quotas.keeper.reporters,
-            "share": round(self._quotas.keeper.share, 3),
+            "keeper": self._quotas.allocator_id,
+            "reporters": self._quotas.allocator.reporters,
+            "share": round(self._quotas.allocator.share, 3),
             "accounts": [
                 self._row(account) for account in self._book.accounts.accounts
             ],
@@ -67,5 +67,5 @@
             "burst": account.burst,
             "scarce": name in self._quotas.scarce,
             "refused": self._quotas.refused[name],
-            "tokens": round(self._quotas.keeper.level_of(name), 1),
+            "tokens": round(self._quotas.allocator.level_of(name), 1),
         }
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -69,14 +69,14 @@
         self._limits = limits
         self._recorder = recorder
         self._rng = rng
-        self.keeper = quota_allocator.QuotaAllocator(limits)
+        self.allocator = quota_allocator.QuotaAllocator(limits)
         self._local = local_quotas.LocalQuotas(limits, rng)
         self._waiting: dict[tuple[str, int], list[asyncio.Future[float]]] = {}
         self._due = asyncio.Event()
         self._choice = allocator_selection.AllocatorSelector(
             exchange.membership
         )
-        self._keeper_id = ""
+        self._allocator_id = ""
         self.refused: collections.Counter[str] = collections.Counter()
 
     @property
@@ -94,9 +94,9 @@
         return self._local.scarce
 
     @property
-    def keeper_id(self) -> str:
+    def allocator_id(self) -> str:
         """The node that answered the last report."""
-        return self._keeper_id
+        return self._allocator_id
 
     def spend(
         self, account: accounts_lib.Account, rank: int, now_s: float
@@ -157,7 +157,7 @@
             raise NotReadyError()
         report = quota_wire.read_report(message)
         self._limits.look(time.monotonic())
-        dealt = self.keeper.on_report(
+        dealt = self.allocator.on_report(
             report, self._choice.nodes(), time.monotonic()
         )
         return quota_wire.write_allocation(dealt)
@@ -216,7 +216,7 @@
             self._note_keeper(keeper.node_id)
             return dealt
         self._note_keeper(report.node_id)
-        return self.keeper.on_report(
+        return self.allocator.on_report(
             report, self._choice.nodes(), time.monotonic()
         )
 
@@ -238,16 +238,16 @@
         _refuse_all(waiting)
 
     def _note_keeper(self, node_id: str) -> None:
-        if node_id == self._keeper_id:
+        if node_id == self._allocator_id:
             return
         self._recorder.record(
             time.time(),
             "quota.keeper",
-            before=self._keeper_id,
+            before=self._allocator_id,
             keeper=node_id,
             nodes=self._local.nodes,
         )
-        self._keeper_id = node_id
+        self._allocator_id = node_id
 
     def _note_scarce(
         self, before: frozenset[str], after: frozenset[str]
@@ -263,7 +263,7 @@
                     time.time(),
                     "quota.scarce" if account in after else "quota.ample",
                     account=account,
-                    keeper=self._keeper_id,
+                    keeper=self._allocator_id,
                     refused=self.refused[account],
                 )
 
--- a/tests/unit/test_quota_exchange.py
+++ b/tests/unit/test_quota_exchange.py
@@ -91,9 +91,9 @@
     async def scenario() -> None:
         _, found = _nodes(4)
         await _run(found, 2.0)
-        assert {node.keeper_id for node in found} == {"n0"}
-        assert found[0].keeper.reporters == 4
-        assert found[0].keeper.share == 1.0
+        assert {node.allocator_id for node in found} == {"n0"}
+        assert found[0].allocator.reporters == 4
+        assert found[0].allocator.share == 1.0
 
     virtual_time.run(scenario())
 
@@ -107,7 +107,7 @@
         await asyncio.sleep(3.0)
         link.silent.add("10.0.0.0:1")
         await asyncio.sleep(1.5)
-        assert {node.keeper_id for node in found[1:]} == {"n1"}
+        assert {node.allocator_id for node in found[1:]} == {"n1"}
         assert await found[2].ask(_ACME, 0) == 0.0
         for task in tasks:
             task.cancel()
@@ -122,8 +122,8 @@
         link, found = _nodes(4)
         link.silent |= {f"10.0.0.{n}:1" for n in range(3)}
         await _run(found[3:], 3.0)
-        assert found[3].keeper_id == "n3"
-        assert found[3].keeper.share == 0.25
+        assert found[3].allocator_id == "n3"
+        assert found[3].allocator.share == 0.25
 
     virtual_time.run(scenario())
 
