--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -106,7 +106,7 @@
             self._members_changed,
             rng,
             lambda: self.watch.freshness.claim(),
-            lambda address, claim: self.watch.heard_of(address, claim),
+            lambda address, claim: self.watch.on_claim(address, claim),
             self._doubt,
         )
         store: Any = model_store.StoreClient(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
@@ -82,7 +82,7 @@
             self._unconfirmed = False
             self._record("routes.confirmed")
 
-    def heard(self, address: str, claim: freshness.Claim) -> None:
+    def on_claim(self, address: str, claim: freshness.Claim) -> None:
         """Takes what a peer says of its table."""
         if claim.age_s is None or claim.version != self._book.version:
             return
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -277,11 +277,11 @@
         self._confirm(time.monotonic())
         return True
 
-    def heard_of(self, address: str, claim: freshness.Claim) -> None:
+    def on_claim(self, address: str, claim: freshness.Claim) -> None:
         """Takes what a peer says of its table."""
         if not address:
             return
-        self.freshness.heard(address, claim)
+        self.freshness.on_claim(address, claim)
         version = claim.version
         if not self._has_read and not self._away:
             # The store's own answer is on its way; it may be enough.
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -86,7 +86,7 @@
         return self._route_watch.freshness.claim()
 
     def _on_routes(self, address: str, claim: freshness.Claim) -> None:
-        self._route_watch.heard_of(address, claim)
+        self._route_watch.on_claim(address, claim)
 
     def _on_unanswered(self) -> None:
         self._route_watch.doubt()
--- a/tests/unit/test_freshness.py
+++ b/tests/unit/test_freshness.py
@@ -70,7 +70,7 @@
         node.belief.confirm(0.0, "10.0.0.2:1")
         watching = asyncio.create_task(node.belief.watch_forever())
         await asyncio.sleep(3 * route_freshness.UNCONFIRMED_S)
-        node.belief.heard("10.0.0.3:1", freshness.Claim(-1, 0.5))
+        node.belief.on_claim("10.0.0.3:1", freshness.Claim(-1, 0.5))
         watching.cancel()
         assert node.asked > 0
         return node.events()
@@ -87,7 +87,7 @@
 def test_peer_with_another_version_confirms_nothing():
     async def scenario() -> freshness.Claim:
         node = _Node()
-        node.belief.heard("10.0.0.3:1", freshness.Claim(4, 0.1))
+        node.belief.on_claim("10.0.0.3:1", freshness.Claim(4, 0.1))
         return node.belief.claim()
 
     assert virtual_time.run(scenario()).age_s is None
