--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -146,7 +146,7 @@
         self._doubts_until_s = time.monotonic() + _DOUBT_S
         self._duty.set()
 
-    def store_came_back_older(self) -> None:
+    def on_store_restored(self) -> None:
         """Notes that the store lost what it wrote last.
 
         Revisions count on from an older one, so that of the last read may lie
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -156,7 +156,7 @@
             era=self._store_link.era,
             routes=self._book.version,
         )
-        self._route_watch.store_came_back_older()
+        self._route_watch.on_store_restored()
         self._store_returned()
 
     def _retry_burst(self) -> float:
