--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -185,7 +185,7 @@
         self.keeper.store_returned()
 
     def _doubt(self) -> None:
-        self.watch.doubt()
+        self.watch.suspect_isolation()
         self.keeper.doubt()
 
     def _say_ready(self) -> None:
@@ -199,7 +199,7 @@
 
     def _choose(self) -> None:
         self._due = False
-        self.watch.choose(watchers.watches(self.membership))
+        self.watch.set_watcher(watchers.watches(self.membership))
 
 
 class Fleet:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_joining.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_joining.py
@@ -57,8 +57,8 @@
         while not joined or self._book.table is None:
             joined = joined or await self._join()
             self._on_members()
-            if self._route_watch.away:
-                await self._route_watch.ask_peers(self._peer_addresses())
+            if self._route_watch.store_unavailable:
+                await self._route_watch.fetch_from_peers(self._peer_addresses())
             await self._route_watch.wait_for_routes(_PAUSE_S)
             if not joined:
                 await asyncio.sleep(_PAUSE_S)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -124,7 +124,7 @@
             rng,
         )
         self._peers = route_peers.RoutePeers(
-            book, link, self._intake.accept, self.doubt
+            book, link, self._intake.accept, self.suspect_isolation
         )
         self._chosen = False
         self._has_read = False
@@ -136,12 +136,12 @@
             book, recorder, self._believed_duty, self._ask_once, rng
         )
 
-    def choose(self, chosen: bool) -> None:
+    def set_watcher(self, chosen: bool) -> None:
         """Takes whether this node is one of the watchers."""
         self._chosen = chosen
         self._duty.set()
 
-    def doubt(self) -> None:
+    def suspect_isolation(self) -> None:
         """Notes that news may not reach this node: a peer was not reached."""
         self._doubts_until_s = time.monotonic() + _DOUBT_S
         self._duty.set()
@@ -169,7 +169,7 @@
         return self._peers.fetching
 
     @property
-    def away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store did not answer the last question."""
         return self._away
 
@@ -290,7 +290,7 @@
             return
         self._peers.fetch(address, version, self._own_watch_first_s())
 
-    async def ask_peers(self, addresses: list[str]) -> bool:
+    async def fetch_from_peers(self, addresses: list[str]) -> bool:
         """Takes the newest table of some peers; returns whether there is one.
 
         The first to answer may itself be behind, so the others are waited for
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -89,7 +89,7 @@
         self._route_watch.on_claim(address, claim)
 
     def _on_unanswered(self) -> None:
-        self._route_watch.doubt()
+        self._route_watch.suspect_isolation()
         self._quarantine_keeper.doubt()
 
     def _build_sources(self) -> None:
@@ -182,7 +182,7 @@
             self._recorder.record(
                 time.time(), "watchers.changed", watchers=names
             )
-        self._route_watch.choose(self._settings.node_id in names)
+        self._route_watch.set_watcher(self._settings.node_id in names)
 
     def _new_handover(self) -> handover_lib.Handover:
         return routed_handover.RoutedHandover(
--- a/tests/unit/test_changes_in_force.py
+++ b/tests/unit/test_changes_in_force.py
@@ -74,8 +74,8 @@
     async def scenario() -> float:
         fleet = await fleets.a_settled_fleet(12, 3, seed)
         for node in fleet.living():
-            node.watch.choose(False)
-            node.watch.choose = lambda chosen: None
+            node.watch.set_watcher(False)
+            node.watch.set_watcher = lambda chosen: None
         await asyncio.sleep(_WATCH_S)
         fleet.change_routes(2)
         return await _in_force_s(fleet, 2)
