--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_announcements.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_announcements.py
@@ -27,9 +27,9 @@
 from burdockfront import timeline
 
 # A node that hears of a newer table fetches it before it tells others.
-ROUND_S = 0.3
+ROUND_INTERVAL_S = 0.3
 # A way to and fro between regions takes less.
-PATIENCE_S = 0.15
+PUSH_WAIT_S = 0.15
 # Of those who are to be told; a node that reaches nobody stops trying.
 _MOST_TRIES = 4
 
@@ -86,7 +86,7 @@
         everybody = len(self._membership.members())
         near = self._membership.near_peers(everybody)
         await self._round(near, self._far_places(first))
-        await asyncio.sleep(ROUND_S)
+        await asyncio.sleep(ROUND_INTERVAL_S)
         await self._round(self._following(), self._far_places(False))
         if self._silent:
             self._recorder.record(
@@ -121,7 +121,7 @@
         push = asyncio.create_task(self._push(member))
         self._pushes.add(push)
         push.add_done_callback(self._pushes.discard)
-        done, _ = await asyncio.wait({push}, timeout=PATIENCE_S)
+        done, _ = await asyncio.wait({push}, timeout=PUSH_WAIT_S)
         return push in done and push.result()
 
     def _following(self) -> list[members_lib.Member]:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_checks.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_checks.py
@@ -22,7 +22,7 @@
 # second as a rule.
 CHECKS_PER_S = 10.0
 # Of few nodes each would ask without end.
-SHORTEST_PAUSE_S = 1.0
+MIN_PAUSE_S = 1.0
 # Cheap answers may be seconds old; a question that is not answered so, at ten
 # times the price, must come often enough by itself.
 _FRESH_EVERY = 5
@@ -78,7 +78,7 @@
                 await self._check()
 
     def _pause_s(self) -> float:
-        mean_s = max(SHORTEST_PAUSE_S, self._nodes() / CHECKS_PER_S)
+        mean_s = max(MIN_PAUSE_S, self._nodes() / CHECKS_PER_S)
         return mean_s * self._rng.uniform(0.5, 1.5)
 
     async def _check(self) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
@@ -19,7 +19,7 @@
 
 # News of the store passes from node to node with their probes, one a second
 # each: it is seldom older than a few seconds, with hundreds of nodes too.
-UNCONFIRMED_S = 6.0
+CONFIRMATION_TTL_S = 6.0
 _LOOK_S = 1.0
 # Where the store answers nobody, nobody is confirmed anything: all nodes
 # together ask it twenty times a second then, however many they are.
@@ -112,7 +112,7 @@
     def _left_s(self) -> float:
         """Returns how long the last confirmation is still good for."""
         age_s = self._freshness.age_s(time.monotonic())
-        return 0.0 if age_s is None else UNCONFIRMED_S - age_s
+        return 0.0 if age_s is None else CONFIRMATION_TTL_S - age_s
 
     def _record(self, kind: str) -> None:
         duty = self._duty()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_peers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_peers.py
@@ -19,7 +19,7 @@
 ROUTES = "/peer/routes"
 _TIMEOUT_S = 1.0
 # A way to and fro between regions takes less.
-PATIENCE_S = 0.15
+ANSWER_WAIT_S = 0.15
 
 
 class RoutePeers:
@@ -106,4 +106,4 @@
         asking = asyncio.create_task(self.fetch_now(address))
         self._asking.add(asking)
         asking.add_done_callback(self._asking.discard)
-        await asyncio.wait({asking}, timeout=PATIENCE_S)
+        await asyncio.wait({asking}, timeout=ANSWER_WAIT_S)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -47,7 +47,7 @@
 
 ROUTES = route_peers.ROUTES
 # Time for the own watch to bring what a peer knows already.
-OWN_WATCH_FIRST_S = 0.1
+OWN_WATCH_WAIT_S = 0.1
 # Two ways to and fro between regions, and some work there.
 _OTHER_PEERS_S = 0.2
 # Nodes that start together learn of each other in this time; before, each takes
@@ -320,7 +320,7 @@
 
     def _own_watch_first_s(self) -> float:
         watches = self._chosen and not self._away
-        return OWN_WATCH_FIRST_S if watches else 0.0
+        return OWN_WATCH_WAIT_S if watches else 0.0
 
     def on_peer(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answers a peer that asks for the table."""
--- a/tests/unit/test_freshness.py
+++ b/tests/unit/test_freshness.py
@@ -69,7 +69,7 @@
         node = _Node()
         node.belief.confirm(0.0, "10.0.0.2:1")
         watching = asyncio.create_task(node.belief.watch_forever())
-        await asyncio.sleep(3 * route_freshness.UNCONFIRMED_S)
+        await asyncio.sleep(3 * route_freshness.CONFIRMATION_TTL_S)
         node.belief.on_claim("10.0.0.3:1", freshness.Claim(-1, 0.5))
         watching.cancel()
         assert node.asked > 0
--- a/tests/unit/test_time_budgets.py
+++ b/tests/unit/test_time_budgets.py
@@ -32,7 +32,7 @@
 _PROBE_S = 1.0
 _PROBE_TIMEOUT_S = 0.4
 # Whoever is drawn first to be told is gone, and so is a peer that told.
-_GONE_S = route_announcements.PATIENCE_S + route_peers.PATIENCE_S
+_GONE_S = route_announcements.PUSH_WAIT_S + route_peers.ANSWER_WAIT_S
 
 
 def _asked_within_s(nodes: int, lost: int, strikes: int) -> float:
@@ -40,9 +40,7 @@
 
     Turns are independent, and those who are lost ask no more.
     """
-    pause_s = max(
-        route_checks.SHORTEST_PAUSE_S, nodes / route_checks.CHECKS_PER_S
-    )
+    pause_s = max(route_checks.MIN_PAUSE_S, nodes / route_checks.CHECKS_PER_S)
     left = nodes - lost
     return pause_s * (1.0 - math.exp(-math.log(strikes) / left))
 
@@ -65,7 +63,7 @@
 def test_news_lost_to_all_watchers_takes_half_the_time_of_a_change(nodes):
     """Guards against watchers that wait for their own watch in vain."""
     asked_s = _asked_within_s(nodes, 0, 100)
-    waits_s = route_watch.OWN_WATCH_FIRST_S
+    waits_s = route_watch.OWN_WATCH_WAIT_S
     assert asked_s + _found_and_told_s() + waits_s <= _ROUTES_S / 2
 
 
