--- a/packages/burdockfront-node/src/burdockfront_node/controllers/platform.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/platform.py
@@ -83,18 +83,20 @@
             fresh=True,
         )
 
-    async def read(self, prefix: str, patient: bool = False) -> Snapshot:
+    async def read(
+        self, prefix: str, wait_for_budget: bool = False
+    ) -> Snapshot:
         """Returns all items below a prefix.
 
         Args:
             prefix: Beginning of the keys.
-            patient: Wait for the budget rather than fail, for operators.
+            wait_for_budget: Wait for the budget rather than fail, for operators.
 
         Raises:
             PlatformUnavailableError: No answer, or the budget is spent.
         """
         target = f"/kv?prefix={prefix}"
-        data = await self._ask("GET", target, None, 0.0, patient)
+        data = await self._ask("GET", target, None, 0.0, wait_for_budget)
         return snapshot_from_json(data)
 
     async def watch(self, prefix: str, after: int) -> Snapshot:
@@ -124,7 +126,9 @@
             PlatformUnavailableError: No answer: it may have taken effect.
         """
         body = {"value": value, "expected": expected}
-        data = await self._ask("PUT", f"/kv/{key}", body, 0.0, patient=True)
+        data = await self._ask(
+            "PUT", f"/kv/{key}", body, 0.0, wait_for_budget=True
+        )
         if "conflict" in data:
             raise WriteConflictError(key, data["conflict"])
         return int(data["revision"])
@@ -153,9 +157,9 @@
         target: str,
         body: dict[str, Any] | None,
         wait_s: float,
-        patient: bool = False,
+        wait_for_budget: bool = False,
     ) -> dict[str, Any]:
-        await self._take_budget(_PATIENCE_S if patient else 0.0)
+        await self._take_budget(_PATIENCE_S if wait_for_budget else 0.0)
         reply = await self.link.ask(
             store_link.StoreRequest(method, target, body),
             wait_s + self._settings.timeout_s,
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/policies.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/policies.py
@@ -154,7 +154,7 @@
                 "this node runs without a platform service."
             )
         key = PREFIX + service
-        snapshot = await self._platform.read(key, patient=True)
+        snapshot = await self._platform.read(key, wait_for_budget=True)
         for item in snapshot.items:
             if item.key == key:
                 return item
--- a/tests/unit/test_policies.py
+++ b/tests/unit/test_policies.py
@@ -11,7 +11,7 @@
 class _PlatformThatIsNotAsked:
     """Stands in for a client whose budget or breaker forbids the write."""
 
-    async def read(self, prefix, patient=False):
+    async def read(self, prefix, wait_for_budget=False):
         return platform.Snapshot(7, ())
 
     async def write(self, key, value, expected):
