--- a/packages/burdockfront-node/src/burdockfront_node/controllers/platform.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/platform.py
@@ -90,7 +90,7 @@
 
         Args:
             prefix: Beginning of the keys.
-            wait_for_budget: Wait for the budget rather than fail, for operators.
+            wait_for_budget: Wait for the budget instead of failing.
 
         Raises:
             PlatformUnavailableError: No answer, or the budget is spent.
