--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_activation.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_activation.py
@@ -1,4 +1,4 @@
-"""Puts tables of routes in force, wherever they come from."""
+"""Activates route tables, from the store and from peers alike."""
 
 import asyncio
 import time
@@ -13,16 +13,16 @@
 
 
 class RouteActivator:
-    """Takes tables, newer ones only, and says so.
+    """Activates newer tables, and reports each activation.
 
     Args:
         read_table: Reads a table from an item of the store.
-        book: The table in force.
+        book: The active table.
         recorder: Where events go.
-        on_news: Called when another table is in force, with the address of
-            the node that it came from; empty: the store.
-        age_s: Returns how long ago the table in force was last known to be
-            the newest; None: never.
+        on_activated: Called after a table was activated, with the address of
+            the node that it came from; empty if it came from the store.
+        age_s: Returns how long ago the active table was last known to be the
+            newest; None: never.
     """
 
     def __init__(
@@ -30,30 +30,38 @@
         read_table: ReadTable,
         book: routes.RouteResolver,
         recorder: timeline.Recorder,
-        on_news: Callable[[str], None],
+        on_activated: Callable[[str], None],
         age_s: Callable[[], float | None],
     ):
         self._read_table = read_table
         self._book = book
         self._recorder = recorder
-        self._on_news = on_news
+        self._on_activated = on_activated
         self._age_s = age_s
-        self._known = asyncio.Event()
+        self._has_table = asyncio.Event()
 
-    async def wait_for_first(self, longest_s: float) -> None:
-        """Waits until a table is in force, or for so long."""
+    async def wait_for_first(self, max_wait_s: float) -> None:
+        """Waits until a table is active, at most `max_wait_s`."""
         try:
-            async with asyncio.timeout(longest_s):
-                await self._known.wait()
+            async with asyncio.timeout(max_wait_s):
+                await self._has_table.wait()
         except TimeoutError:
             return
 
-    def take(self, item: store_lib.Item, source: str = "store") -> None:
-        """Takes an item of the store, if it is a table, and how it came."""
+    def accept_item(self, item: store_lib.Item, source: str = "store") -> None:
+        """Activates the table of an item of the store.
+
+        Items that are no table, and tables that are not newer than the active
+        one, are ignored.
+
+        Args:
+            item: The item.
+            source: How the item was learned of, for the event.
+        """
         try:
             table = self._read_table(item)
         except errors.InvalidInputError as error:
-            # What is in force stays: half a table would be worse.
+            # The active table stays: half a table would be worse.
             self._recorder.record(
                 time.time(),
                 "routes.rejected",
@@ -63,21 +71,21 @@
             )
             return
         if table is not None:
-            self._accept(table, source, "")
+            self._activate(table, source, "")
 
-    def accept(self, table: routes.RouteTable, teller: str) -> None:
-        """Takes a table from the node of an address."""
-        self._accept(table, f"peer {teller}", teller)
+    def accept_from_peer(self, table: routes.RouteTable, address: str) -> None:
+        """Activates the table of a peer if it is newer than the active one."""
+        self._activate(table, f"peer {address}", address)
 
-    def _accept(
-        self, table: routes.RouteTable, source: str, teller: str
+    def _activate(
+        self, table: routes.RouteTable, source: str, address: str
     ) -> None:
         before = self._book.version
         age_s = self._age_s()
         if not self._book.accept(table):
             return
-        self._known.set()
-        self._on_news(teller)
+        self._has_table.set()
+        self._on_activated(address)
         self._recorder.record(
             time.time(),
             "routes.in-force",
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -107,7 +107,7 @@
             store, prefix, self._confirm, self._on_duty
         )
         self._heard: tuple[str, int] | None = None
-        self._intake = route_activation.RouteActivator(
+        self._activator = route_activation.RouteActivator(
             read_table,
             book,
             recorder,
@@ -117,14 +117,14 @@
         self.checks = route_checks.RouteChecks(
             store,
             prefix,
-            lambda item: self._intake.take(item, "check"),
+            lambda item: self._activator.accept_item(item, "check"),
             self._confirm,
             lambda: self._has_read and not self._away,
             others.count,
             rng,
         )
         self._peers = route_peers.RoutePeers(
-            book, link, self._intake.accept, self.suspect_isolation
+            book, link, self._activator.accept_from_peer, self.suspect_isolation
         )
         self._chosen = False
         self._has_read = False
@@ -175,7 +175,7 @@
 
     async def wait_for_routes(self, longest_s: float) -> None:
         """Waits until a table is in force, or for so long."""
-        await self._intake.wait_for_first(longest_s)
+        await self._activator.wait_for_first(longest_s)
 
     async def read(self) -> bool:
         """Reads the table anew; returns whether the store answered.
@@ -193,7 +193,7 @@
         self._has_read = True
         self._reads_anew = False
         for item in page.items:
-            self._intake.take(item)
+            self._activator.accept_item(item)
         # Not the highest so far: a store that came back older counts anew.
         self._after = page.revision
         self.checks.seen(page.revision)
@@ -245,7 +245,7 @@
             _LOG.info("the store was asked in vain", extra={"why": str(error)})
             return
         for item in page.items:
-            self._intake.take(item)
+            self._activator.accept_item(item)
         self._confirm(asked_s)
 
     def _on_duty(self) -> bool:
@@ -330,7 +330,7 @@
     def _take_all(self, events: store_lib.Events) -> None:
         for change in events.changes:
             if isinstance(change, store_lib.Item):
-                self._intake.take(change)
+                self._activator.accept_item(change)
         if not self._reads_anew:
             self._after = events.revision
             self.checks.seen(events.revision)
