--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_wire.py
@@ -1,4 +1,4 @@
-"""How reports of quotas look between nodes."""
+"""Encodes and decodes quota reports and the replies to them."""
 
 from typing import Any
 
@@ -7,76 +7,76 @@
 from burdockfront import errors
 from burdockfront import quotas
 
-_SPENT = pydantic.TypeAdapter(list[tuple[str, int]])
-_WANTED = pydantic.TypeAdapter(list[tuple[str, int, int]])
-_GRANTED = pydantic.TypeAdapter(list[tuple[str, int, int, float]])
-_NAMES = pydantic.TypeAdapter(list[str])
+_USAGE = pydantic.TypeAdapter(list[tuple[str, int]])
+_REQUESTS = pydantic.TypeAdapter(list[tuple[str, int, int]])
+_GRANTS = pydantic.TypeAdapter(list[tuple[str, int, int, float]])
+_SCARCE = pydantic.TypeAdapter(list[str])
 
 
 def write_report(report: quotas.Report) -> dict[str, Any]:
-    """Returns a report as it travels."""
+    """Encodes a report."""
     return {
         "n": report.node_id,
-        "s": [[spent.account, spent.count] for spent in report.usage],
+        "s": [[usage.account, usage.count] for usage in report.usage],
         "w": [
-            [wanted.account, wanted.rank, wanted.count]
-            for wanted in report.requests
+            [request.account, request.rank, request.count]
+            for request in report.requests
         ],
     }
 
 
 def read_report(data: dict[str, Any]) -> quotas.Report:
-    """Reads a report.
+    """Decodes a report.
 
     Raises:
-        InvalidInputError: It does not have the shape of one.
+        InvalidInputError: The data is not a valid report.
     """
     try:
         return quotas.Report(
             str(data["n"]),
             tuple(
-                quotas.Usage(*row) for row in _SPENT.validate_python(data["s"])
+                quotas.Usage(*row) for row in _USAGE.validate_python(data["s"])
             ),
             tuple(
                 quotas.TokenRequest(*row)
-                for row in _WANTED.validate_python(data["w"])
+                for row in _REQUESTS.validate_python(data["w"])
             ),
         )
     except (KeyError, pydantic.ValidationError) as error:
-        raise _unreadable("a report of quotas", error) from None
+        raise _unreadable("a quota report", error) from None
 
 
-def write_allocation(dealt: quotas.Allocation) -> dict[str, Any]:
-    """Returns an answer as it travels."""
+def write_allocation(allocation: quotas.Allocation) -> dict[str, Any]:
+    """Encodes the reply to a report."""
     return {
         "g": [
-            [granted.account, granted.rank, granted.count, granted.wait_s]
-            for granted in dealt.grants
+            [grant.account, grant.rank, grant.count, grant.wait_s]
+            for grant in allocation.grants
         ],
-        "c": sorted(dealt.scarce),
+        "c": sorted(allocation.scarce),
     }
 
 
 def read_allocation(data: dict[str, Any]) -> quotas.Allocation:
-    """Reads an answer.
+    """Decodes the reply to a report.
 
     Raises:
-        InvalidInputError: It does not have the shape of one.
+        InvalidInputError: The data is not a valid reply.
     """
     try:
         return quotas.Allocation(
             tuple(
                 quotas.TokenGrant(*row)
-                for row in _GRANTED.validate_python(data["g"])
+                for row in _GRANTS.validate_python(data["g"])
             ),
-            frozenset(_NAMES.validate_python(data["c"])),
+            frozenset(_SCARCE.validate_python(data["c"])),
         )
     except (KeyError, pydantic.ValidationError) as error:
-        raise _unreadable("an answer about quotas", error) from None
+        raise _unreadable("a reply to a quota report", error) from None
 
 
 def _unreadable(what: str, error: Exception) -> errors.InvalidInputError:
     return errors.InvalidInputError(
-        f"expected {what}, got one without a valid {error!r:.200}; all nodes "
-        f"must run compatible releases."
+        f"expected {what}, got an invalid one ({error!r:.200}); all nodes must "
+        f"run compatible releases."
     )
--- a/tests/unit/test_quota_exchange.py
+++ b/tests/unit/test_quota_exchange.py
@@ -1,4 +1,4 @@
-"""Who keeps quotas, and what a node does when nobody answers."""
+"""Which node allocates quotas, and what nodes do when it does not answer."""
 
 import asyncio
 import random
@@ -21,10 +21,10 @@
 
 
 class _Link:
-    """The way to other nodes, some of which do not answer."""
+    """Link to the peers, some of which do not answer."""
 
     def __init__(self) -> None:
-        self.silent: set[str] = set()
+        self.unresponsive: set[str] = set()
         self.nodes: dict[str, quota_exchange.QuotaExchange] = {}
         self.asked: list[str] = []
 
@@ -33,9 +33,9 @@
     ) -> Any:
         self.asked.append(address)
         await asyncio.sleep(0.001)
-        if address in self.silent:
+        if address in self.unresponsive:
             await asyncio.sleep(timeout_s)
-            raise errors.DispatchError("silent")
+            raise errors.DispatchError("no answer")
         try:
             return self.nodes[address].on_report(message)
         except quota_exchange.NotReadyError as error:
@@ -87,7 +87,7 @@
         task.cancel()
 
 
-def test_all_report_to_the_node_that_has_run_longest():
+def test_all_nodes_report_to_the_longest_running_one():
     async def scenario() -> None:
         _, found = _nodes(4)
         await _run(found, 2.0)
@@ -98,14 +98,14 @@
     virtual_time.run(scenario())
 
 
-def test_keeper_that_falls_silent_is_replaced_and_requests_go_on():
-    """Guards against requests that wait for a keeper that is gone."""
+def test_unresponsive_allocator_is_replaced_and_requests_go_on():
+    """Guards against requests that wait for an allocator that has failed."""
 
     async def scenario() -> None:
         link, found = _nodes(4)
         tasks = [asyncio.create_task(node.report_forever()) for node in found]
         await asyncio.sleep(3.0)
-        link.silent.add("10.0.0.0:1")
+        link.unresponsive.add("10.0.0.0:1")
         await asyncio.sleep(1.5)
         assert {node.allocator_id for node in found[1:]} == {"n1"}
         assert await found[2].ask(_ACME, 0) == 0.0
@@ -115,12 +115,12 @@
     virtual_time.run(scenario())
 
 
-def test_node_that_reaches_nobody_deals_itself_its_share():
-    """Guards against a whole quota at each node that is cut off."""
+def test_isolated_node_allocates_only_its_share_to_itself():
+    """Guards against each isolated node admitting the whole quota."""
 
     async def scenario() -> None:
         link, found = _nodes(4)
-        link.silent |= {f"10.0.0.{n}:1" for n in range(3)}
+        link.unresponsive |= {f"10.0.0.{n}:1" for n in range(3)}
         await _run(found[3:], 3.0)
         assert found[3].allocator_id == "n3"
         assert found[3].allocator.share == 0.25
@@ -128,8 +128,8 @@
     virtual_time.run(scenario())
 
 
-def test_node_that_has_just_started_keeps_nothing():
-    """Guards against shares of the few nodes that a new node knows."""
+def test_node_that_has_just_started_allocates_nothing():
+    """Guards against shares based on the few nodes that a new node knows."""
     _, found = _nodes(2)
     found[0]._ready.clear()
     report = quota_exchange.quotas.Report("n1")
@@ -137,33 +137,33 @@
         found[0].on_report(quota_wire.write_report(report))
 
 
-def test_caller_who_leaves_while_it_waits_gives_its_token_back():
+def test_token_of_a_caller_that_disconnects_while_waiting_is_returned():
     async def scenario() -> None:
         _, found = _nodes(2)
         waiting = asyncio.create_task(found[1].ask(_ACME, 0))
         await asyncio.sleep(0)
         waiting.cancel()
         await _run(found, 3.0)
-        spent = found[1]._local.report()
+        usage = found[1]._local.report()
         assert not waiting.done() or waiting.cancelled()
-        assert sum(entry.count for entry in spent) <= 0
+        assert sum(entry.count for entry in usage) <= 0
 
     virtual_time.run(scenario())
 
 
-def test_members_that_left_count_no_more_and_lost_ones_do():
-    """Guards against shares that grow while nodes are only cut off."""
+def test_members_that_left_do_not_count_but_failed_ones_do():
+    """Guards against shares that grow while nodes are only unreachable."""
     _, found = _nodes(3)
-    choice = found[0]._choice
+    selector = found[0]._selector
     membership_of = found[0]._exchange.membership
-    assert choice.nodes() == 3
-    lost = builders.a_member(
+    assert selector.nodes() == 3
+    failed = builders.a_member(
         "n2", incarnation=3, revision=1, status=members.Status.DEAD
     )
-    membership_of.merge(lost.to_entry(), 0.0)
-    assert choice.nodes() == 3
+    membership_of.merge(failed.to_entry(), 0.0)
+    assert selector.nodes() == 3
     left = builders.a_member(
         "n1", incarnation=2, revision=1, status=members.Status.LEFT
     )
     membership_of.merge(left.to_entry(), 0.0)
-    assert choice.nodes() == 2
+    assert selector.nodes() == 2
