--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_peers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_peers.py
@@ -1,9 +1,9 @@
-"""Fetches operators' table from peers who know a newer one.
+"""Fetches route tables from peers that announced a newer one.
 
-Whoever told of it may have frozen or been cut off a moment later, and then
-gives no answer until the timeout: half of the time in which a change must be in
-force. So the next one who told is asked as soon as an answer is late, and the
-store where nobody else told.
+A peer may freeze or be cut off a moment after it announced its table, and then
+its answer is missing until the timeout: half of the time within which a change
+must be active. So the next announcing peer is asked as soon as an answer is
+late, and the store is asked when no other peer announced the table.
 """
 
 import asyncio
@@ -18,7 +18,8 @@
 
 ROUTES = "/peer/routes"
 _TIMEOUT_S = 1.0
-# A way to and fro between regions takes less.
+# After this time an answer is late, and another peer is asked as well. A round
+# trip between regions takes less.
 ANSWER_WAIT_S = 0.15
 
 
@@ -26,11 +27,11 @@
     """Asks peers for their table.
 
     Args:
-        book: The table in force.
-        link: The way to peers.
-        accept: Takes a table, and the address that it came from.
-        on_lost: Called when a newer table was told of, and does not come from
-            those who told of it.
+        book: The active table.
+        link: Sends messages to peers.
+        accept: Takes a table and the address of the peer that sent it.
+        on_fetch_failure: Called when a newer table was announced but could not
+            be fetched from any peer that announced it.
     """
 
     def __init__(
@@ -38,36 +39,36 @@
         book: routes.RouteResolver,
         link: peer_link.PeerLink,
         accept: Callable[[routes.RouteTable, str], None],
-        on_lost: Callable[[], None],
+        on_fetch_failure: Callable[[], None],
     ):
         self._book = book
         self._link = link
         self._accept = accept
-        self._on_lost = on_lost
+        self._on_fetch_failure = on_fetch_failure
         self._task: asyncio.Task[None] | None = None
-        # Who was not asked yet, and the version that it told of.
-        self._told: dict[str, int] = {}
-        # Questions whose answer is late may still bring it.
+        # Announced version by the address of each peer that was not asked yet.
+        self._announced: dict[str, int] = {}
+        # Requests in flight: a late answer may still bring the table.
         self._asking: set[asyncio.Task[None]] = set()
 
     @property
     def fetching(self) -> bool:
-        """Whether a newer table is on its way."""
+        """Whether a newer table is being fetched."""
         return self._task is not None and not self._task.done()
 
-    def fetch(self, address: str, version: int, wait_s: float) -> None:
-        """Fetches a table if it is newer than the one in force.
+    def fetch(self, address: str, version: int, delay_s: float) -> None:
+        """Fetches a table if it is newer than the active one.
 
         Args:
-            address: Of the peer.
-            version: Its version.
-            wait_s: Time for it to come by another way first.
+            address: Address of the peer.
+            version: Version that the peer announced.
+            delay_s: Time to wait first, as the table may arrive by other means.
         """
         if version <= self._book.version:
             return
-        self._told[address] = version
+        self._announced[address] = version
         if not self.fetching:
-            self._task = asyncio.create_task(self._fetch_newest(wait_s))
+            self._task = asyncio.create_task(self._fetch_newest(delay_s))
 
     async def fetch_now(self, address: str) -> None:
         """Takes the table of a peer, if it answers."""
@@ -77,32 +78,38 @@
             if data is not None:
                 self._accept(routes.table_from_json(data), address)
         except errors.DispatchError as error:
-            _LOG.info("no routes from a peer", extra={"why": str(error)})
+            _LOG.info(
+                "fetching routes from a peer failed", extra={"why": str(error)}
+            )
         except errors.InvalidInputError as error:
             _LOG.warning(
-                "a peer's routes are no use", extra={"why": str(error)}
+                "a peer sent an invalid route table", extra={"why": str(error)}
             )
 
-    async def _fetch_newest(self, wait_s: float) -> None:
-        """Asks one after the other until nothing newer was told of."""
-        if wait_s:
-            await asyncio.sleep(wait_s)
+    async def _fetch_newest(self, delay_s: float) -> None:
+        """Asks the announcing peers in turn until no newer table is known."""
+        if delay_s:
+            await asyncio.sleep(delay_s)
         wanted = self._book.version
         while (address := self._next()) is not None:
-            wanted = max(wanted, self._told.pop(address))
+            wanted = max(wanted, self._announced.pop(address))
             await self._ask(address)
         if wanted > self._book.version:
-            # Whoever told of it may be gone, and with it the news.
-            self._on_lost()
+            # The peers that know the table may all have failed.
+            self._on_fetch_failure()
 
     def _next(self) -> str | None:
-        """Returns who told of the newest version, of those who told first."""
+        """Returns the first of the peers that announced the newest version."""
         current = self._book.version
-        self._told = {a: v for a, v in self._told.items() if v > current}
-        return max(self._told, key=self._told.__getitem__, default=None)
+        self._announced = {
+            a: v for a, v in self._announced.items() if v > current
+        }
+        return max(
+            self._announced, key=self._announced.__getitem__, default=None
+        )
 
     async def _ask(self, address: str) -> None:
-        """Asks a peer, and waits until it is late."""
+        """Asks a peer, and returns once it has answered or is late."""
         asking = asyncio.create_task(self.fetch_now(address))
         self._asking.add(asking)
         asking.add_done_callback(self._asking.discard)
--- a/tests/unit/test_route_peers.py
+++ b/tests/unit/test_route_peers.py
@@ -1,4 +1,4 @@
-"""Tables of routes are fetched from those who tell of them, in time."""
+"""Route tables are fetched in time from the peers that announce them."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from burdockfront_node.controllers import route_peers
 from tests import builders
 
-# A tenth of the time in which a change must be in force.
+# A tenth of the time within which a change must be active.
 _SOON_S = 0.25
 _FROZEN = "frozen:1"
 
@@ -30,81 +30,84 @@
         self.asked.append(address)
         if address == _FROZEN:
             await asyncio.sleep(timeout_s)
-            raise errors.DispatchError("silent")
+            raise errors.DispatchError("no answer")
         await asyncio.sleep(0.001)
         return {"routes": self._table.to_json()}
 
 
-class _Place:
-    """One node that is told of version 5."""
+class _World:
+    """One node to which peers announce version 5."""
 
     def __init__(self) -> None:
         self.book = routes.RouteResolver(random.Random(1))
         self.link = _Link(5)
-        self.lost: list[float] = []
+        self.failures_s: list[float] = []
         self.peers = route_peers.RoutePeers(
             self.book,
             self.link,
             lambda table, source: self.book.accept(table),
-            self._note_lost,
+            self._on_fetch_failure,
         )
 
-    def _note_lost(self) -> None:
-        self.lost.append(asyncio.get_running_loop().time())
+    def _on_fetch_failure(self) -> None:
+        self.failures_s.append(asyncio.get_running_loop().time())
 
-    def told_by(self, *addresses: str) -> None:
+    def announce_from(self, *addresses: str) -> None:
         for address in addresses:
             self.peers.fetch(address, 5, 0.0)
 
 
-def test_table_comes_from_another_peer_when_the_first_froze_after_telling():
-    """Guards against a second spent on a peer that will not answer."""
+def test_table_comes_from_another_peer_when_the_first_froze_after_announcing():
+    """Guards against waiting a second for a peer that will not answer."""
 
     async def scenario() -> int:
-        place = _Place()
-        place.told_by(_FROZEN, "good:1")
+        world = _World()
+        world.announce_from(_FROZEN, "good:1")
         await asyncio.sleep(_SOON_S)
-        return place.book.version
+        return world.book.version
 
     assert virtual_time.run(scenario()) == 5
 
 
-def test_peer_that_tells_while_a_frozen_one_is_asked_is_asked_too():
-    """Guards against news that is dropped because a fetch is on its way."""
+def test_peer_that_announces_while_a_frozen_one_is_asked_is_asked_too():
+    """Guards against announcements dropped because a fetch is in flight."""
 
     async def scenario() -> int:
-        place = _Place()
-        place.told_by(_FROZEN)
+        world = _World()
+        world.announce_from(_FROZEN)
         await asyncio.sleep(0.05)
-        place.told_by("good:1")
+        world.announce_from("good:1")
         await asyncio.sleep(_SOON_S)
-        return place.book.version
+        return world.book.version
 
     assert virtual_time.run(scenario()) == 5
 
 
-def test_store_is_asked_soon_when_the_only_peer_that_told_froze():
-    """Guards against news that waits for a timeout with nobody else to ask."""
+def test_failure_is_reported_soon_when_the_only_announcing_peer_froze():
+    """Guards against waiting for the timeout when there is no other peer to ask.
+
+    The store is asked as soon as the failure is reported.
+    """
 
     async def scenario() -> list[float]:
-        place = _Place()
-        place.told_by(_FROZEN)
+        world = _World()
+        world.announce_from(_FROZEN)
         await asyncio.sleep(5.0)
-        return place.lost
+        return world.failures_s
 
-    [lost_s] = virtual_time.run(scenario())
-    assert lost_s < _SOON_S
+    [failure_s] = virtual_time.run(scenario())
+    assert failure_s < _SOON_S
 
 
-def test_one_fetch_serves_all_who_tell_of_a_version():
-    """Guards against a table that is fetched from each who tells of it."""
+def test_one_fetch_serves_all_announcements_of_a_version():
+    """Guards against fetching a table from each peer that announces it."""
 
     async def scenario() -> list[str]:
-        place = _Place()
-        place.told_by("good:1", "good:2", "good:3")
+        world = _World()
+        world.announce_from("good:1", "good:2", "good:3")
         await asyncio.sleep(1.0)
-        place.told_by("good:4")
+        world.announce_from("good:4")
         await asyncio.sleep(1.0)
-        return place.link.asked
+        return world.link.asked
 
     assert virtual_time.run(scenario()) == ["good:1"]
