--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_checks.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_checks.py
@@ -1,10 +1,10 @@
-"""Asks the store whether anything has changed, each node in its turn.
+"""Polls the store for changes, with the polls spread over all nodes.
 
-Few nodes watch the store for all, and all of these may be lost in one moment,
-or hear nothing without noticing. Until others know that, a change would be in
-force nowhere. So every node asks now and then, whoever watches: all nodes
-together ask several times a second, however many they are, and whoever finds
-something new tells the others.
+Few nodes watch the store for all, and all of these may fail at once, or receive
+nothing without noticing. Until the other nodes detect that, a change would be
+active nowhere. So every node, watcher or not, polls the store from time to
+time: all nodes together poll it several times a second, however many they are,
+and a node that finds a change announces it to its peers.
 """
 
 import asyncio
@@ -18,28 +18,29 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Of all nodes together. With half of them lost, somebody asks within half a
-# second as a rule.
+# Polls of all nodes together. With half of the nodes lost, one of the rest
+# usually polls within half a second.
 CHECKS_PER_S = 10.0
-# Of few nodes each would ask without end.
+# Shortest mean pause of one node. With few nodes, each would otherwise poll
+# without a pause.
 MIN_PAUSE_S = 1.0
-# Cheap answers may be seconds old; a question that is not answered so, at ten
-# times the price, must come often enough by itself.
+# Every n-th poll of a node asks for a fresh answer, at ten times the price.
+# Cheap answers may be seconds old, so fresh ones alone must come often enough.
 _FRESH_EVERY = 5
-# A process that has just started has read everything itself.
+# A process that has just started has read the whole table itself.
 _FIRST_PAUSE_S = 3.0
 
 
 class RouteChecks:
-    """This node's turns.
+    """Polls the store from one node.
 
     Args:
         store: Client of the store.
-        prefix: Beginning of the keys.
-        take: Takes an item that may be newer than what is in force.
-        confirm: Called with the time at which nothing newer was there.
-        relied_on: Whether this node is to ask. One that the store did not
-            answer finds out by itself when it does.
+        prefix: Prefix of the keys.
+        take: Takes an item that may be newer than the active table.
+        confirm: Called with the time at which there was nothing newer.
+        enabled: Whether this node is to poll. A node that the store does not
+            answer retries by other means, and so learns when it answers again.
         nodes: Returns how many nodes there are.
         rng: Source of randomness.
     """
@@ -50,7 +51,7 @@
         prefix: str,
         take: Callable[[store_lib.Item], None],
         confirm: Callable[[float], None],
-        relied_on: Callable[[], bool],
+        enabled: Callable[[], bool],
         nodes: Callable[[], int],
         rng: random.Random,
     ):
@@ -58,23 +59,24 @@
         self._prefix = prefix
         self._take = take
         self._confirm = confirm
-        self._relied_on = relied_on
+        self._enabled = enabled
         self._nodes = nodes
         self._rng = rng
-        self._seen = 0
-        # Nodes that start together would all ask for fresh answers at once.
-        self._turn = rng.randrange(_FRESH_EVERY)
+        self._revision = 0
+        # Starts at random: nodes that start together would otherwise all ask
+        # for fresh answers at once.
+        self._count = rng.randrange(_FRESH_EVERY)
 
-    def seen(self, revision: int) -> None:
-        """Notes up to which revision this node has read the store."""
-        self._seen = revision
+    def on_read(self, revision: int) -> None:
+        """Records up to which revision this node has read the store."""
+        self._revision = revision
 
     async def check_forever(self) -> None:
-        """Asks whenever it is this node's turn."""
+        """Polls whenever this node's pause has passed."""
         await asyncio.sleep(_FIRST_PAUSE_S)
         while True:
             await asyncio.sleep(self._pause_s())
-            if self._relied_on():
+            if self._enabled():
                 await self._check()
 
     def _pause_s(self) -> float:
@@ -82,15 +84,15 @@
         return mean_s * self._rng.uniform(0.5, 1.5)
 
     async def _check(self) -> None:
-        self._turn += 1
-        stale = self._turn % _FRESH_EVERY != 0
+        self._count += 1
+        stale = self._count % _FRESH_EVERY != 0
         asked_s = time.monotonic()
         try:
             revision = await self._store.ping(stale)
-            if self._is_news(revision, stale):
+            if self._has_changed(revision, stale):
                 await self._read(revision)
         except errors.PlatformUnavailableError as error:
-            _LOG.info("the store was asked in vain", extra={"why": str(error)})
+            _LOG.info("polling the store failed", extra={"why": str(error)})
             return
         if not stale:
             self._confirm(asked_s)
@@ -100,10 +102,12 @@
         page = await self._store.read(self._prefix, stale=True)
         if page.revision < revision:
             page = await self._store.read(self._prefix)
-        self._seen = page.revision
+        self._revision = page.revision
         for item in page.items:
             self._take(item)
 
-    def _is_news(self, revision: int, stale: bool) -> bool:
-        """Whether the store has changed; an old answer may lie behind."""
-        return revision > self._seen if stale else revision != self._seen
+    def _has_changed(self, revision: int, stale: bool) -> bool:
+        """Whether the store has changed; a stale answer may lag behind."""
+        return (
+            revision > self._revision if stale else revision != self._revision
+        )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
@@ -1,9 +1,9 @@
-"""Whether this node still knows that its table of routes is the newest.
+"""Tracks whether the route table of this node is known to be the newest.
 
-Few nodes watch the store for all. Which ones follows from what each node knows
-of the others, and for a while each may believe that another one watches. A node
-to which nobody has confirmed its table for long does not trust in that, and
-asks the store itself.
+Few nodes watch the store for all. Each node derives the watchers from its own
+view of the members, so for a while each node may assume that another one
+watches. A node whose table has not been confirmed for long reads the store
+itself instead of relying on the watchers.
 """
 
 import asyncio
@@ -17,22 +17,24 @@
 from burdockfront import routes
 from burdockfront import timeline
 
-# News of the store passes from node to node with their probes, one a second
-# each: it is seldom older than a few seconds, with hundreds of nodes too.
+# How long a confirmation is valid. Confirmations spread by the probes between
+# nodes, one a second each, so the latest one is seldom older than a few
+# seconds, even with hundreds of nodes.
 CONFIRMATION_TTL_S = 6.0
-_LOOK_S = 1.0
-# Where the store answers nobody, nobody is confirmed anything: all nodes
-# together ask it twenty times a second then, however many they are.
-_ASKS_APART_S = 0.05
+_CHECK_INTERVAL_S = 1.0
+# Mean interval between the reads of all unconfirmed nodes together. While the
+# store answers no node, no table is confirmed, and all nodes together read the
+# store twenty times a second, however many they are.
+_READ_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Duty:
-    """What a node believes of who asks the store.
+    """A node's current view of its part in watching the store.
 
     Attributes:
-        watching: It is to watch the store itself.
-        store_away: The store did not answer its last question.
+        watching: Whether it is one of the watchers.
+        store_away: Whether the store did not answer its last request.
         nodes: How many nodes it knows.
     """
 
@@ -42,13 +44,15 @@
 
 
 class RouteFreshness:
-    """Keeps the age of this node's knowledge, and notes when it gets old.
+    """Tracks when the active table was last confirmed to be the newest.
+
+    When the confirmation expires, records an event and reads the store.
 
     Args:
-        book: The table in force.
+        book: The active table.
         recorder: Where events go.
-        duty: Returns what this node believes of who asks the store.
-        ask: Asks the store whether there is a newer table.
+        duty: Returns this node's current view of its part in watching.
+        read: Reads the table from the store.
         rng: Source of randomness.
     """
 
@@ -57,60 +61,60 @@
         book: routes.RouteResolver,
         recorder: timeline.Recorder,
         duty: Callable[[], Duty],
-        ask: Callable[[], Awaitable[None]],
+        read: Callable[[], Awaitable[None]],
         rng: random.Random,
     ):
-        self._ask = ask
+        self._read = read
         self._rng = rng
         self._book = book
         self._recorder = recorder
         self._duty = duty
         self._freshness = freshness.Freshness()
-        # A process begins without knowing anything.
+        # A process starts without any confirmation.
         self._unconfirmed = True
 
     def claim(self) -> freshness.Claim:
-        """Returns what this node says of its table."""
+        """Returns the active version and the age of its last confirmation."""
         age_s = self._freshness.age_s(time.monotonic())
         rounded_s = None if age_s is None else round(age_s, 2)
         return freshness.Claim(self._book.version, rounded_s)
 
     def confirm(self, at_s: float, source: str) -> None:
-        """Notes that the table in force was the newest at some time."""
+        """Records that the active table was the newest at a given time."""
         self._freshness.confirm(at_s, source)
-        if self._unconfirmed and self._left_s() > 0.0:
+        if self._unconfirmed and self._valid_for_s() > 0.0:
             self._unconfirmed = False
             self._record("routes.confirmed")
 
     def on_claim(self, address: str, claim: freshness.Claim) -> None:
-        """Takes what a peer says of its table."""
+        """Confirms the active table by a peer's claim about its version."""
         if claim.age_s is None or claim.version != self._book.version:
             return
         self.confirm(time.monotonic() - claim.age_s, address)
 
     async def watch_forever(self) -> None:
-        """Asks when nobody has confirmed the table for long."""
+        """Reads the store whenever the last confirmation has expired."""
         while True:
-            left_s = self._left_s()
-            if left_s > 0.0:
-                await asyncio.sleep(max(_LOOK_S, left_s))
+            valid_for_s = self._valid_for_s()
+            if valid_for_s > 0.0:
+                await asyncio.sleep(max(_CHECK_INTERVAL_S, valid_for_s))
                 continue
             if not self._unconfirmed:
                 self._unconfirmed = True
                 self._record("routes.unconfirmed")
-            await self._ask_in_turn()
-
-    async def _ask_in_turn(self) -> None:
-        """Asks after a wait, unless somebody confirms the table meanwhile."""
-        longest_s = _ASKS_APART_S * self._duty().nodes
-        await asyncio.sleep(self._rng.uniform(0.0, longest_s))
-        if self._left_s() <= 0.0:
-            await self._ask()
-        if self._left_s() <= 0.0:
-            await asyncio.sleep(_LOOK_S)
-
-    def _left_s(self) -> float:
-        """Returns how long the last confirmation is still good for."""
+            await self._read_after_delay()
+
+    async def _read_after_delay(self) -> None:
+        """Reads after a random delay unless a confirmation arrives first."""
+        max_delay_s = _READ_INTERVAL_S * self._duty().nodes
+        await asyncio.sleep(self._rng.uniform(0.0, max_delay_s))
+        if self._valid_for_s() <= 0.0:
+            await self._read()
+        if self._valid_for_s() <= 0.0:
+            await asyncio.sleep(_CHECK_INTERVAL_S)
+
+    def _valid_for_s(self) -> float:
+        """Returns for how long the last confirmation is still valid."""
         age_s = self._freshness.age_s(time.monotonic())
         return 0.0 if age_s is None else CONFIRMATION_TTL_S - age_s
 
