--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_joining.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_joining.py
@@ -1,4 +1,4 @@
-"""A start on a place with routes: learns routes and members, then is ready."""
+"""Start-up of a routed node: obtains routes and members, then is ready."""
 
 import asyncio
 import time
@@ -16,16 +16,16 @@
 
 
 class RouteJoining:
-    """Brings a node from its start to ready.
+    """Brings a starting node to readiness.
 
     Args:
-        directory: Where other nodes are found.
-        exchange: Exchanges members with them.
+        directory: Where peers are found.
+        exchange: Exchanges members with the peers.
         route_watch: Reads the table from the store.
-        book: The table in force.
+        book: The active table.
         recorder: Where events go.
-        on_members: Called when it is known who the members are.
-        on_ready: Called once, when callers may be sent here.
+        on_members: Called when the members are known.
+        on_ready: Called once, when this node may receive requests of callers.
     """
 
     def __init__(
@@ -47,11 +47,11 @@
         self._on_ready = on_ready
 
     async def become_ready(self) -> None:
-        """Learns routes and members, then says ready.
+        """Obtains routes and members, then reports readiness.
 
-        The table is read from the store, which alone is never behind. While
-        the store does not answer, peers that found this node at its old
-        address know it as well.
+        The table is read from the store, the only source that is never behind.
+        While the store does not answer, the table comes from peers that found
+        this node at its old address.
         """
         joined = False
         while not joined or self._book.table is None:
@@ -74,12 +74,13 @@
         try:
             await self._directory.join()
         except errors.PlatformError:
-            # The members that found this node are all it can know now.
+            # Without the directory, only members that contacted this node are
+            # known.
             return len(self._exchange.membership.usable()) > 1
         return True
 
     def _peer_addresses(self) -> list[str]:
-        """Returns a few members to ask, of this data centre if there are."""
+        """Returns a few members to ask, near ones if there are any."""
         membership = self._exchange.membership
         members = membership.near_peers(_PEERS_ASKED)
         members = members or membership.far_peers(_PEERS_ASKED)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -1,26 +1,24 @@
-"""Operators' table of routes: from the store, from peers, or from both.
+"""Keeps the operators' route table up to date, from the store and from peers.
 
-A few nodes watch the store (`burdockfront.watchers`) and tell the others as
-soon as a version is in force there; each fetches the table from whoever told
-it, and tells others in turn. Messages of the exchange carry the version, so
-what such news missed is found by the next probe.
+A few nodes watch the store (`burdockfront.watchers`) and announce each version
+that they activate; each peer fetches the table from the node that announced it,
+and announces it in turn. Gossip messages carry the version, so a node that an
+announcement missed learns of the version from the next probe.
 
-A node asks the store itself
+A node accesses the store itself
 
 * once when it starts: a peer may be a moment behind, and a node must not go
   back to a table that it had already replaced before it stopped;
-* while it is one of the watchers, or the store did not answer its last
-  question;
-* in its turn, whoever watches (`route_checks`);
-* once when nobody has confirmed its table for seconds (`route_freshness`);
-* after a probe that a member did not answer: it may be this node that is cut
-  off from the others, and it would go on under an old table without noticing,
-  though callers and the store still reach it. Asking for each lost member costs
-  a call or two.
-
-Were every node to watch, each change would cost a call of each: 555 calls of
-the store on a quiet day of 30 nodes, and more than the store allows in a second
-when hundreds start together.
+* while it is one of the watchers, or the store did not answer its last request;
+* periodically, watcher or not (`route_checks`);
+* once when its table has not been confirmed for seconds (`route_freshness`);
+* after a probe failure: this node itself may be cut off from its peers, and
+  would continue with an old table without noticing, though callers and the
+  store still reach it. This costs a call or two for each failed member.
+
+If every node watched, each change would cost a call of each node: 555 calls of
+the store on a quiet day with 30 nodes, and more than the store allows in a
+second when hundreds start together.
 """
 
 import asyncio
@@ -46,39 +44,43 @@
 _LOG = logging.getLogger(__name__)
 
 ROUTES = route_peers.ROUTES
-# Time for the own watch to bring what a peer knows already.
+# How long a watcher waits for its own watch to deliver a table that a peer has
+# announced, before it fetches the table from the peer.
 OWN_WATCH_WAIT_S = 0.1
-# Two ways to and fro between regions, and some work there.
-_OTHER_PEERS_S = 0.2
-# Nodes that start together learn of each other in this time; before, each takes
-# itself for one that is to watch.
+# How long to wait for the answers of further peers after the first table: two
+# round trips between regions, and some processing time there.
+_MORE_ANSWERS_S = 0.2
+# Nodes that start together learn of each other within this time; before that,
+# each considers itself a watcher.
 _SETTLE_S = 0.3
-# Stores keep a history of some tens of seconds. A watch from a revision that is
-# older than this may be in vain, and costs a call more than reading at once.
+# Stores keep a history of some tens of seconds. A watch from a revision older
+# than this may fail, which costs one call more than reading at once.
 _HISTORY_S = 10.0
-# A store that has no history at all must not be asked without end.
+# Pause before reading again after a watch without history: a store that has no
+# history at all must not be called in a tight loop.
 _REREAD_PAUSE_S = 0.05
-# A waiting watch covers this and more, so a doubt costs a read and a watch.
-_DOUBT_S = 3.0
+# How long a node that may be isolated acts as a watcher. A waiting watch lasts
+# longer than this, so it costs one read and one watch.
+_ISOLATION_S = 3.0
 
 
 class RouteWatch:
-    """Keeps the table in force up to date.
+    """Keeps the active route table up to date.
 
     Args:
         store: Client of the store.
         prefix: Prefix of operators' keys.
         read_table: Reads a table from an item.
-        book: The table in force.
-        link: The way to peers.
+        book: The active table.
+        link: Sends messages to peers.
         recorder: Where events go.
-        on_return: Called when the store answers again after failures.
-        others: The other nodes, who are told what this one learns.
+        on_store_recovered: Called when the store answers again after failures.
+        others: Notifies the peers of what this node learns.
         rng: Source of randomness.
 
     Attributes:
         freshness: How long ago the table was known to be the newest.
-        checks: Questions to the store in this node's turns.
+        checks: Polls the store periodically.
     """
 
     def __init__(
@@ -89,7 +91,7 @@
         book: routes.RouteResolver,
         link: peer_link.PeerLink,
         recorder: timeline.Recorder,
-        on_return: Callable[[], None],
+        on_store_recovered: Callable[[], None],
         others: other_nodes.Others,
         rng: random.Random,
     ):
@@ -98,15 +100,16 @@
         self._prefix = prefix
         self._book = book
         self._recorder = recorder
-        self._on_return = on_return
+        self._on_store_recovered = on_store_recovered
         self._after = 0
-        self._away = False
-        # Whether what was read is still the beginning of what is watched.
-        self._reads_anew = False
+        self._store_unavailable = False
+        # Whether the table must be read again before the next watch, as its
+        # revision is no longer valid.
+        self._must_reread = False
         self._watch = store_watch.StoreWatch(
-            store, prefix, self._confirm, self._on_duty
+            store, prefix, self._confirm, self._should_watch
         )
-        self._heard: tuple[str, int] | None = None
+        self._early_claim: tuple[str, int] | None = None
         self._activator = route_activation.RouteActivator(
             read_table,
             book,
@@ -119,100 +122,106 @@
             prefix,
             lambda item: self._activator.accept_item(item, "check"),
             self._confirm,
-            lambda: self._has_read and not self._away,
+            lambda: self._has_read and not self._store_unavailable,
             others.count,
             rng,
         )
         self._peers = route_peers.RoutePeers(
             book, link, self._activator.accept_from_peer, self.suspect_isolation
         )
-        self._chosen = False
+        self._is_watcher = False
         self._has_read = False
-        self._doubts_until_s = 0.0
-        # When the store last told what is current.
-        self._current_at_s = 0.0
-        self._duty = asyncio.Event()
+        self._suspects_isolation_until_s = 0.0
+        # When the store last answered.
+        self._answered_at_s = 0.0
+        self._duty_changed = asyncio.Event()
         self.freshness = route_freshness.RouteFreshness(
-            book, recorder, self._believed_duty, self._ask_once, rng
+            book, recorder, self._current_duty, self._read_once, rng
         )
 
-    def set_watcher(self, chosen: bool) -> None:
-        """Takes whether this node is one of the watchers."""
-        self._chosen = chosen
-        self._duty.set()
+    def set_watcher(self, watcher: bool) -> None:
+        """Sets whether this node is one of the watchers."""
+        self._is_watcher = watcher
+        self._duty_changed.set()
 
     def suspect_isolation(self) -> None:
-        """Notes that news may not reach this node: a peer was not reached."""
-        self._doubts_until_s = time.monotonic() + _DOUBT_S
-        self._duty.set()
+        """Acts as a watcher for a while, as updates may not reach this node."""
+        self._suspects_isolation_until_s = time.monotonic() + _ISOLATION_S
+        self._duty_changed.set()
 
     def on_store_restored(self) -> None:
-        """Notes that the store lost what it wrote last.
+        """Reads again after the store was restored from an older copy.
 
-        Revisions count on from an older one, so that of the last read may lie
-        in the future. What is in force here stays: operators write again what
-        is lost, under the version that it had.
+        The store's latest writes are lost and its revisions continue from an
+        older one, so the revision of the last read may lie in the future. The
+        active table stays: operators write the lost one again, under the
+        version that it had.
         """
-        self._reads_anew = True
-        self._duty.set()
-        # It waits for changes after a revision that will be another one.
+        self._must_reread = True
+        self._duty_changed.set()
+        # The watch waits for changes after a revision that the store will use
+        # for another change.
         self._watch.stop()
 
     @property
     def revision(self) -> int:
-        """The store's revision up to which everything was heard."""
+        """The store's revision up to which all changes were received."""
         return self._after
 
     @property
     def is_behind(self) -> bool:
-        """Whether a newer table is on its way from a peer."""
+        """Whether a newer table is being fetched from a peer."""
         return self._peers.fetching
 
     @property
     def store_unavailable(self) -> bool:
-        """Whether the store did not answer the last question."""
-        return self._away
+        """Whether the store did not answer the last request."""
+        return self._store_unavailable
 
-    async def wait_for_routes(self, longest_s: float) -> None:
-        """Waits until a table is in force, or for so long."""
-        await self._activator.wait_for_first(longest_s)
+    async def wait_for_routes(self, max_wait_s: float) -> None:
+        """Waits until a table is active, at most `max_wait_s`."""
+        await self._activator.wait_for_first(max_wait_s)
 
     async def read(self) -> bool:
-        """Reads the table anew; returns whether the store answered.
+        """Reads the table from the store.
 
         Not a stale read: a node that starts must not go back to a table that
         it had already replaced before it stopped.
+
+        Returns:
+            Whether the store answered.
         """
         asked_s = time.monotonic()
         try:
             page = await self._store.read(self._prefix)
         except errors.PlatformUnavailableError as error:
-            self._note_away(str(error))
+            self._on_store_failure(str(error))
             return False
-        self._note_back()
+        self._on_store_answer()
         self._has_read = True
-        self._reads_anew = False
+        self._must_reread = False
         for item in page.items:
             self._activator.accept_item(item)
-        # Not the highest so far: a store that came back older counts anew.
+        # Not the maximum so far: a restored store continues from an older
+        # revision.
         self._after = page.revision
-        self.checks.seen(page.revision)
+        self.checks.on_read(page.revision)
         self._confirm(asked_s)
-        self._fetch_what_was_heard()
+        self._fetch_early_claim()
         return True
 
     async def watch_forever(self) -> None:
-        """Reads once, and watches whenever that is up to this node."""
+        """Reads the table, and watches the store whenever this node should."""
         known = False
         while True:
-            if not self._on_duty():
-                # A watch soon after goes on from the revision read last: what
-                # has changed meanwhile comes at once.
-                await self._wait_for_duty()
-                age_s = time.monotonic() - self._current_at_s
+            if not self._should_watch():
+                # A watch that starts soon after continues from the revision
+                # read last, and delivers changes of the meantime at once.
+                await self._wait_for_duty_change()
+                age_s = time.monotonic() - self._answered_at_s
                 known = known and age_s < _HISTORY_S
                 continue
-            if not known or self._reads_anew:
+            if not known or self._must_reread:
                 first = not self._has_read
                 known = await self.read()
                 if not known:
@@ -225,76 +234,88 @@
     def _confirm(self, at_s: float) -> None:
         self.freshness.confirm(at_s, "store")
 
-    def _believed_duty(self) -> route_freshness.Duty:
+    def _current_duty(self) -> route_freshness.Duty:
         return route_freshness.Duty(
-            self._chosen, self._away, self._others.count()
+            self._is_watcher, self._store_unavailable, self._others.count()
         )
 
-    async def _ask_once(self) -> None:
-        """Reads the table, though that is not up to this node.
+    async def _read_once(self) -> None:
+        """Reads the table once, though this node is not to watch.
 
-        A failure changes nothing: were it to ask again and again from then on,
-        an outage of the store would be met by the questions of all nodes.
+        A failure changes nothing: if each node kept retrying after one, all
+        nodes would call the store during an outage.
         """
-        if self._on_duty():
+        if self._should_watch():
             return
         asked_s = time.monotonic()
         try:
             page = await self._store.read(self._prefix)
         except errors.PlatformUnavailableError as error:
-            _LOG.info("the store was asked in vain", extra={"why": str(error)})
+            _LOG.info(
+                "reading routes from the store failed",
+                extra={"why": str(error)},
+            )
             return
         for item in page.items:
             self._activator.accept_item(item)
         self._confirm(asked_s)
 
-    def _on_duty(self) -> bool:
-        """Whether this node is to ask the store now."""
-        doubts = time.monotonic() < self._doubts_until_s
-        doubts = doubts or self._reads_anew
-        return not self._has_read or self._away or doubts or self._chosen
+    def _should_watch(self) -> bool:
+        """Whether this node should watch the store now."""
+        unsure = time.monotonic() < self._suspects_isolation_until_s
+        unsure = unsure or self._must_reread
+        return (
+            not self._has_read
+            or self._store_unavailable
+            or unsure
+            or self._is_watcher
+        )
 
-    async def _wait_for_duty(self) -> None:
-        self._duty.clear()
-        await self._duty.wait()
+    async def _wait_for_duty_change(self) -> None:
+        self._duty_changed.clear()
+        await self._duty_changed.wait()
 
     async def _watch_once(self) -> bool:
-        """Waits for changes once; returns whether nothing was missed."""
+        """Waits for changes once; returns whether none can have been missed."""
         try:
             events = await self._watch.wait(self._after)
         except store_watch.StoppedError:
             return False
         except errors.PlatformUnavailableError as error:
-            self._note_away(str(error))
+            self._on_store_failure(str(error))
             await asyncio.sleep(self._pause_s())
             return False
         except errors.PlatformError:
-            # Its history may be gone again by the time of the next watch.
+            # The store's history may again be too short at the next watch.
             await asyncio.sleep(_REREAD_PAUSE_S)
             return False
-        self._note_back()
-        self._take_all(events)
+        self._on_store_answer()
+        self._accept_events(events)
         self._confirm(time.monotonic())
         return True
 
     def on_claim(self, address: str, claim: freshness.Claim) -> None:
-        """Takes what a peer says of its table."""
+        """Processes a peer's claim about its table."""
         if not address:
             return
         self.freshness.on_claim(address, claim)
         version = claim.version
-        if not self._has_read and not self._away:
-            # The store's own answer is on its way; it may be enough.
-            if self._heard is None or version > self._heard[1]:
-                self._heard = (address, version)
+        if not self._has_read and not self._store_unavailable:
+            # The first read from the store is in flight, and may bring the same
+            # or a newer table.
+            if self._early_claim is None or version > self._early_claim[1]:
+                self._early_claim = (address, version)
             return
-        self._peers.fetch(address, version, self._own_watch_first_s())
+        self._peers.fetch(address, version, self._own_watch_wait_s())
 
     async def fetch_from_peers(self, addresses: list[str]) -> bool:
-        """Takes the newest table of some peers; returns whether there is one.
+        """Fetches the tables of some peers and activates the newest.
+
+        The first peer to answer may itself be behind, so there is a short wait
+        for the answers of the others.
 
-        The first to answer may itself be behind, so the others are waited for
-        a moment longer.
+        Returns:
+            Whether a table is active.
         """
         asking = {
             asyncio.create_task(self._peers.fetch_now(address))
@@ -306,20 +327,23 @@
                     asking, return_when=asyncio.FIRST_COMPLETED
                 )
             if asking:
-                await asyncio.wait(asking, timeout=_OTHER_PEERS_S)
+                await asyncio.wait(asking, timeout=_MORE_ANSWERS_S)
         finally:
             for task in asking:
                 task.cancel()
         return self._book.table is not None
 
-    def _fetch_what_was_heard(self) -> None:
-        """Asks who knows a newer table than the store, which may be older."""
-        heard, self._heard = self._heard, None
-        if heard is not None:
-            self._peers.fetch(*heard, self._own_watch_first_s())
+    def _fetch_early_claim(self) -> None:
+        """Fetches a table newer than the store's that a peer claimed meanwhile.
+
+        The store may have been restored from an older copy.
+        """
+        claim, self._early_claim = self._early_claim, None
+        if claim is not None:
+            self._peers.fetch(*claim, self._own_watch_wait_s())
 
-    def _own_watch_first_s(self) -> float:
-        watches = self._chosen and not self._away
+    def _own_watch_wait_s(self) -> float:
+        watches = self._is_watcher and not self._store_unavailable
         return OWN_WATCH_WAIT_S if watches else 0.0
 
     def on_peer(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -327,28 +351,28 @@
         table = self._book.table
         return {"routes": table.to_json() if table else None}
 
-    def _take_all(self, events: store_lib.Events) -> None:
+    def _accept_events(self, events: store_lib.Events) -> None:
         for change in events.changes:
             if isinstance(change, store_lib.Item):
                 self._activator.accept_item(change)
-        if not self._reads_anew:
+        if not self._must_reread:
             self._after = events.revision
-            self.checks.seen(events.revision)
+            self.checks.on_read(events.revision)
 
     def _pause_s(self) -> float:
-        """Returns how long to wait before the store is asked again."""
+        """Returns how long to wait before the next request to the store."""
         return self._store.link.backoff.wait_s(time.monotonic())
 
-    def _note_away(self, why: str) -> None:
-        if not self._away:
+    def _on_store_failure(self, why: str) -> None:
+        if not self._store_unavailable:
             self._recorder.record(time.time(), "store.lost", why=why)
             self._others.tell_store_away(True)
-        self._away = True
+        self._store_unavailable = True
 
-    def _note_back(self) -> None:
-        self._current_at_s = time.monotonic()
-        if self._away:
+    def _on_store_answer(self) -> None:
+        self._answered_at_s = time.monotonic()
+        if self._store_unavailable:
             self._recorder.record(time.time(), "store.regained")
             self._others.tell_store_away(False)
-            self._on_return()
-        self._away = False
+            self._on_store_recovered()
+        self._store_unavailable = False
