--- a/packages/burdockfront-node/src/burdockfront_node/controllers/store.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/store.py
@@ -1,8 +1,8 @@
 """Client of the platform's key-value store: reads, watches, writes, leases.
 
 A write without an answer may have taken effect, or may do so later. So each
-method says which of its errors prove that nothing happened, and callers write
-under a condition or write what is true in any case.
+method documents which of its errors prove that nothing happened, and callers
+write under a condition, or write values that are valid in either case.
 """
 
 import base64
@@ -19,18 +19,18 @@
 from burdockfront_client import peers as peers_lib
 from burdockfront_node.controllers import store_link
 
-# Ten times the store's usual answer and some; one that is slower still ends
-# a call here, and the next call finds out whether it is back.
+# More than ten times the usual latency of the store. A call to a slower store
+# fails, and the next call finds out whether the store has recovered.
 _TIMEOUT_S = 1.5
-# A store that is slow answers within a quarter of a second.
+# A slow store answers within a quarter of a second.
 _PING_TIMEOUT_S = 0.5
-# Nobody writes there.
+# Prefix under which there are no keys.
 _NO_KEYS = "burdockfront/none/"
 _FIRST_WAIT_S = 0.1
-# After an outage a node may be behind for this long, out of the seconds in
-# which a change must be in force.
-_MOST_WAIT_S = 0.8
-_MOST_PAGES = 50
+# After an outage a node may be behind for this long, which is part of the
+# seconds within which a change must be active.
+_MAX_WAIT_S = 0.8
+_MAX_PAGES = 50
 _REFUSALS = frozenset(
     [
         http.HTTPStatus.NOT_FOUND,
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Removed:
-    """A key that is no more."""
+    """A key that was removed, and the revision that removed it."""
 
     key: str
     revision: int
@@ -78,13 +78,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease as the store granted it.
+    """A lease that the store granted.
 
     Attributes:
-        lease_id: Its name in the store.
-        duration_s: How long it lives without a renewal.
-        era: The store's era in which it was granted; in a later one the same
-            name may be somebody else's.
+        lease_id: Its id in the store.
+        duration_s: How long it is valid without a renewal.
+        era: The era of the store in which it was granted; in a later one the
+            same id may belong to a lease of another client.
     """
 
     lease_id: int
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Write:
-    """A key to write, and the lease it lives with (0: none)."""
+    """A key to write, and the lease that it ends with (0: none)."""
 
     key: str
     value: bytes
@@ -114,62 +114,65 @@
 
 
 class ConditionError(errors.PlatformError):
-    """A condition did not hold: nothing was written."""
+    """A condition does not hold, so nothing was written."""
 
 
 class LeaseGoneError(errors.PlatformError):
-    """The lease has ended, and its keys with it: nothing was written."""
+    """The lease has ended, and its keys with it, so nothing was written."""
 
 
 class Wire(Protocol):
-    """Translates calls to the names of a store, and its answers back."""
+    """Encodes requests to a kind of store, and decodes its replies."""
 
     def era_of(self, reply: peers_lib.Reply) -> int | None:
-        """Reads how often the store came back older; None: it doesn't say."""
+        """Returns how often the store was restored from an older copy.
+
+        None if the reply has no era.
+        """
 
     def page(
         self, prefix: str, after_key: str, stale: bool
     ) -> store_link.StoreRequest:
-        """Asks for a page of items."""
+        """Encodes a request for a page of items."""
 
     def watch(
         self, prefix: str, after: int, wait_s: float
     ) -> store_link.StoreRequest:
-        """Asks for changes after a revision."""
+        """Encodes a request for changes after a revision."""
 
     def write(
         self, writes: tuple[Write, ...], conditions: tuple[Condition, ...]
     ) -> store_link.StoreRequest:
-        """Writes all or nothing."""
+        """Encodes a transaction that writes all keys or none."""
 
     def grant(self, duration_s: float) -> store_link.StoreRequest:
-        """Asks for a lease."""
+        """Encodes a request for a lease."""
 
     def renew(self, lease_id: int) -> store_link.StoreRequest:
-        """Renews a lease."""
+        """Encodes the renewal of a lease."""
 
     def end(self, lease_id: int) -> store_link.StoreRequest:
-        """Ends a lease, and its keys with it."""
+        """Encodes the end of a lease, and of its keys with it."""
 
     def read_page(self, data: dict[str, Any]) -> Page:
-        """Reads the answer to `page`."""
+        """Decodes the reply to `page`."""
 
     def read_events(self, data: dict[str, Any]) -> Events:
-        """Reads the answer to `watch`."""
+        """Decodes the reply to `watch`."""
 
     def read_revision(self, data: dict[str, Any]) -> int:
-        """Reads the answer to `write`."""
+        """Decodes the reply to `write`."""
 
     def read_lease(self, data: dict[str, Any]) -> Lease:
-        """Reads the answer to `grant`."""
+        """Decodes the reply to `grant`."""
 
 
 class StoreClient:
-    """Asks the store, and backs off while it does not answer.
+    """Client of the store that backs off while the store does not answer.
 
     Args:
         address: `ip:port` of the store.
-        wire: Its names.
+        wire: Encodes the requests and decodes the replies.
         rng: Source of randomness for waits.
     """
 
@@ -177,7 +180,7 @@
         self._wire = wire
         self.link = store_link.StoreLink(
             address,
-            platform_budget.Backoff(_FIRST_WAIT_S, _MOST_WAIT_S, rng),
+            platform_budget.Backoff(_FIRST_WAIT_S, _MAX_WAIT_S, rng),
             read_era=wire.era_of,
         )
 
@@ -185,24 +188,24 @@
         """Returns all items below a prefix.
 
         Args:
-            prefix: Beginning of the keys.
-            stale: Take an answer that may be seconds old, at a tenth of the
+            prefix: Prefix of the keys.
+            stale: Accept an answer that may be seconds old, at a tenth of the
                 price.
 
         Raises:
-            PlatformUnavailableError: No answer.
+            PlatformUnavailableError: No valid answer.
         """
         items: list[Item] = []
         revision = 0
         after_key = ""
-        for _ in range(_MOST_PAGES):
-            question = self._wire.page(prefix, after_key, stale)
-            page = self._understood(
-                self._wire.read_page, await self._ask(question, _TIMEOUT_S)
+        for _ in range(_MAX_PAGES):
+            request = self._wire.page(prefix, after_key, stale)
+            page = self._decode(
+                self._wire.read_page, await self._ask(request, _TIMEOUT_S)
             )
             items += page.items
-            # Pages are no snapshot: what changed while they were read is
-            # seen by a watch from the first one's revision.
+            # The pages are no snapshot. A watch from the revision of the first
+            # page delivers changes that were made while they were read.
             revision = revision or page.revision
             if not page.more or not page.items:
                 break
@@ -213,63 +216,65 @@
         """Waits for changes after a revision; may return none.
 
         Raises:
-            HistoryGoneError: Read everything again instead.
-            PlatformUnavailableError: No answer.
+            HistoryGoneError: The store no longer has the changes since then;
+                the caller has to read everything again.
+            PlatformUnavailableError: No valid answer.
         """
-        question = self._wire.watch(prefix, after, wait_s)
-        data = await self._ask(question, wait_s + _TIMEOUT_S)
-        return self._understood(self._wire.read_events, data)
+        request = self._wire.watch(prefix, after, wait_s)
+        data = await self._ask(request, wait_s + _TIMEOUT_S)
+        return self._decode(self._wire.read_events, data)
 
     async def ping(self, stale: bool = True) -> int:
         """Returns the store's revision.
 
         Args:
-            stale: Take an answer that may be seconds old, at a tenth of the
+            stale: Accept an answer that may be seconds old, at a tenth of the
                 price.
 
         Raises:
-            PlatformUnavailableError: No answer, or not soon.
+            PlatformUnavailableError: No valid answer within the short timeout.
         """
-        question = self._wire.page(_NO_KEYS, "", stale)
-        data = await self._ask(question, _PING_TIMEOUT_S)
-        return self._understood(self._wire.read_page, data).revision
+        request = self._wire.page(_NO_KEYS, "", stale)
+        data = await self._ask(request, _PING_TIMEOUT_S)
+        return self._decode(self._wire.read_page, data).revision
 
     async def write(
         self,
         writes: tuple[Write, ...],
         conditions: tuple[Condition, ...] = (),
     ) -> int:
-        """Writes all or nothing, and returns the revision.
+        """Writes all keys or none, and returns the revision.
 
         Raises:
-            ConditionError: Nothing was written.
-            LeaseGoneError: Nothing was written.
-            PlatformUnavailableError: No answer: it may have been written, or
-                may be written later.
+            ConditionError: A condition does not hold; nothing was written.
+            LeaseGoneError: A lease has ended; nothing was written.
+            PlatformUnavailableError: No valid answer: the keys may have been
+                written, or may be written later.
         """
-        question = self._wire.write(writes, conditions)
-        data = await self._ask(question, _TIMEOUT_S)
-        return self._understood(self._wire.read_revision, data)
+        request = self._wire.write(writes, conditions)
+        data = await self._ask(request, _TIMEOUT_S)
+        return self._decode(self._wire.read_revision, data)
 
     async def grant(self, duration_s: float) -> Lease:
         """Returns a new lease.
 
         Raises:
-            PlatformUnavailableError: No answer; a lease may have been made,
-                which then ends by itself.
+            PlatformUnavailableError: No valid answer; a lease may have been
+                granted, and then expires.
         """
-        question = self._wire.grant(duration_s)
-        data = await self._ask(question, _TIMEOUT_S)
-        lease = self._understood(self._wire.read_lease, data)
+        request = self._wire.grant(duration_s)
+        data = await self._ask(request, _TIMEOUT_S)
+        lease = self._decode(self._wire.read_lease, data)
         return dataclasses.replace(lease, era=self.link.era)
 
     async def renew(self, lease: Lease) -> None:
         """Renews a lease.
 
         Raises:
-            LeaseGoneError: It has ended, or the store came back from a copy
-                that may not have it; then its name may be another one's.
-            PlatformUnavailableError: No answer.
+            LeaseGoneError: The lease has ended, or the store was restored from
+                a copy that may not have it, so that its id may belong to
+                another lease.
+            PlatformUnavailableError: No valid answer.
         """
         self._check_era(lease)
         await self._ask(self._wire.renew(lease.lease_id), _TIMEOUT_S)
@@ -279,8 +284,8 @@
         """Ends a lease, and its keys with it.
 
         Raises:
-            LeaseGoneError: It had ended already; see `renew`.
-            PlatformUnavailableError: No answer.
+            LeaseGoneError: The lease had already ended; see `renew`.
+            PlatformUnavailableError: No valid answer.
         """
         self._check_era(lease)
         await self._ask(self._wire.end(lease.lease_id), _TIMEOUT_S)
@@ -294,17 +299,17 @@
         await self.link.close()
 
     async def _ask(
-        self, question: store_link.StoreRequest, timeout_s: float
+        self, request: store_link.StoreRequest, timeout_s: float
     ) -> dict[str, Any]:
-        reply = await self.link.ask(question, timeout_s, _REFUSALS)
+        reply = await self.link.ask(request, timeout_s, _REFUSALS)
         _raise_refusal(reply.status)
         return reply.data
 
-    def _understood(
-        self, reader: Callable[[dict[str, Any]], T], data: dict[str, Any]
+    def _decode(
+        self, decode: Callable[[dict[str, Any]], T], data: dict[str, Any]
     ) -> T:
         try:
-            return reader(data)
+            return decode(data)
         except (KeyError, TypeError, ValueError) as error:
             why = f"an answer without a valid {error}"
             raise self.link.failed(why) from None
@@ -316,12 +321,13 @@
             raise _lease_gone()
         case http.HTTPStatus.GONE:
             raise HistoryGoneError(
-                "the store has dropped the changes since then; read all "
-                "items again."
+                "the store no longer has the changes since that revision; read "
+                "all items again."
             )
         case http.HTTPStatus.PRECONDITION_FAILED:
             raise ConditionError(
-                "somebody else changed the key first; read it and decide again."
+                "the key has changed since it was read; read it and decide "
+                "again."
             )
 
 
@@ -332,10 +338,10 @@
 
 
 def decode_value(text: str) -> bytes:
-    """Returns a value from the base64 text in which it travels."""
+    """Decodes a value from base64."""
     return base64.b64decode(text, validate=True)
 
 
 def encode_value(value: bytes) -> str:
-    """Returns the base64 text in which a value travels."""
+    """Encodes a value as base64."""
     return base64.b64encode(value).decode()
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/store_link.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/store_link.py
@@ -1,7 +1,7 @@
-"""The one way to the platform's store: sends a question, backs off, counts.
+"""Connection to the platform's store, with backoff and call counts.
 
-What a question says is up to whoever asks: `platform` speaks the product's own
-interface, `store` that of a place with routes.
+The clients define the requests: `platform` those of the product's own service,
+`store` those of the key-value store of routed nodes.
 """
 
 import collections
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreRequest:
-    """A call as it goes on the wire."""
+    """A call on the wire."""
 
     method: str
     target: str
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreReply:
-    """An answer that the asking side knows what to do with."""
+    """An answer of status 200, or a refusal that the client handles."""
 
     status: int
     data: dict[str, Any]
@@ -53,15 +53,15 @@
 
     Args:
         address: `ip:port`.
-        backoff: When to ask again after failures.
-        fresh: Use no connection that was idle for a while.
-        read_era: Reads from an answer how often the store has come back from
-            an older copy of itself; None where it does not say.
+        backoff: Determines when to retry after failures.
+        fresh: Do not reuse connections that were idle for a while.
+        read_era: Returns from a reply how often the store was restored from an
+            older copy of itself; None if the reply has no era.
 
     Attributes:
-        era: The highest that was read; None before the first.
-        on_new_era: Called when it rises: what was written lately is gone, and
-            revisions and leases are given out again.
+        era: The highest era that was read; None before the first.
+        on_new_era: Called when the era rises: the latest writes are lost, and
+            the store reuses revisions and lease ids.
     """
 
     def __init__(
@@ -79,30 +79,35 @@
         self._peers = peers_lib.Peers()
         self.backoff = backoff
         self.calls = 0
-        # By the first word of the path.
+        # By the first segment of the path.
         self.calls_by_kind: collections.Counter[str] = collections.Counter()
         self.failures = 0
 
     async def ask(
         self,
-        question: StoreRequest,
+        request: StoreRequest,
         timeout_s: float,
         refusals: Set[int] = frozenset(),
     ) -> StoreReply:
-        """Asks, and takes an answer of status 200 or a known refusal.
+        """Sends a request.
+
+        Args:
+            request: The request.
+            timeout_s: Time within which it must be answered.
+            refusals: Statuses besides 200 that are valid answers.
 
         Raises:
-            PlatformUnavailableError: No answer that makes sense; what was
-                asked for may have taken effect, or may do so later.
+            PlatformUnavailableError: No valid answer; the request may have
+                taken effect, or may do so later.
         """
-        body = b"" if question.body is None else orjson.dumps(question.body)
+        body = b"" if request.body is None else orjson.dumps(request.body)
         self.calls += 1
-        self.calls_by_kind[_kind_of(question)] += 1
+        self.calls_by_kind[_kind_of(request)] += 1
         try:
             reply = await self._peers.request(
                 self._address,
-                question.method,
-                question.target,
+                request.method,
+                request.target,
                 {"Content-Type": "application/json"},
                 body,
                 timeout_s,
@@ -120,7 +125,7 @@
         try:
             data: dict[str, Any] = orjson.loads(reply.body or b"{}")
         except orjson.JSONDecodeError as error:
-            raise self.failed(f"what is no JSON: {error}") from None
+            raise self.failed(f"invalid JSON: {error}") from None
         self.backoff.succeeded()
         return StoreReply(reply.status, data)
 
@@ -134,15 +139,15 @@
             self.on_new_era()
 
     def failed(self, why: str) -> errors.PlatformUnavailableError:
-        """Notes a failure, and returns the error that tells of it."""
+        """Records a failure, and returns the error to raise."""
         self.failures += 1
         self.backoff.failed(time.monotonic())
-        # A connection on which one answer was lost gives no other.
+        # A connection on which an answer was lost delivers no further ones.
         self._peers.retire(self._address)
         return errors.PlatformUnavailableError(
             f"the store at {self._address} did not answer as expected "
-            f"({why}); what is in force stays as it is. Nodes ask again by "
-            f"themselves; whoever gave a command, try again in seconds."
+            f"({why}); the active configuration stays. Nodes retry by "
+            f"themselves; after a command, try again in seconds."
         )
 
     async def close(self) -> None:
@@ -150,13 +155,13 @@
         await self._peers.close()
 
 
-def _kind_of(question: StoreRequest) -> str:
-    path = question.target.partition("?")[0]
+def _kind_of(request: StoreRequest) -> str:
+    path = request.target.partition("?")[0]
     return path.strip("/").partition("/")[0]
 
 
 def _details_of(body: bytes) -> dict[str, Any]:
-    """Returns what a refusal says besides its status, if it can be read."""
+    """Returns the body of a refusal, or nothing if it cannot be decoded."""
     try:
         data = orjson.loads(body or b"{}")
     except orjson.JSONDecodeError:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/store_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/store_watch.py
@@ -1,19 +1,21 @@
-"""One watch that waits for changes in the store, and what shows it in vain.
+"""A watch for changes in the store, with checks for lost answers.
 
-A watch that waits and one whose answer was lost look alike for as long as a
-watch may wait. Beside it the store is asked for its revision:
+A waiting watch and one whose answer was lost look the same for as long as a
+watch may wait. So while a watch waits, the store is also polled for its
+revision:
 
-* no answer: the store is silent, and the watch ends;
-* a revision beyond the one that is watched from: something has changed. Was it
-  below the prefix, the watch brings it within a moment. Where it does not, the
-  items are read: what is newer than the watch has brought ends it.
+* no answer: the store is unavailable, and the watch ends;
+* a revision after the one that is watched from: some key has changed. If the
+  key is below the prefix, the watch delivers the change within a moment.
+  Otherwise the items are read, and items newer than the watched revision end
+  the watch.
 
-Both questions take an answer that may be a little old, at a tenth of the price:
-one that is behind tells of no change yet, and the next one does.
+The poll and the read accept a slightly stale answer, at a tenth of the price:
+if such an answer misses a change, the next one has it.
 
-An outage may be shorter than the time between two such questions and take with
-it the answers of all who watch, so that the store answers is no proof that
-nothing has changed.
+An outage may be shorter than the time between two polls, and lose the answers
+to all watches. So an answer to a poll alone does not prove that nothing has
+changed.
 """
 
 import asyncio
@@ -23,18 +25,18 @@
 from burdockfront import errors
 from burdockfront_node.controllers import store as store_lib
 
-# A waiting watch costs one call however long it waits; this is short enough
-# that a store which forgets its watches is asked again within a change or two.
+# A waiting watch costs one call however long it waits. This is short enough for
+# a store that forgets its watches to get a new one within a change or two.
 _WATCH_S = 20.0
-# Changes must be in force within two seconds; half a second of that is for a
-# question that is not answered, and for the news to reach the other nodes.
+# Interval of polls. Changes must be active within two seconds; half a second of
+# that is for a poll without an answer, and for the change to reach the peers.
 _PING_S = 1.2
-# For the watch to bring what the store's revision tells of.
-_OWN_NEWS_S = 0.1
+# Time for the watch to deliver a change that a poll has shown.
+_DELIVERY_S = 0.1
 
 
 class StoppedError(errors.PlatformError):
-    """The watch was ended from this side; read everything again."""
+    """The watch was stopped by this node; everything has to be read again."""
 
 
 class StoreWatch:
@@ -42,11 +44,11 @@
 
     Args:
         store: Client of the store.
-        prefix: Beginning of the keys.
-        confirm: Called with the time at which nothing newer was there than
-            what was watched from.
-        relied_on: Returns whether this node is still to watch. One that is not
-            lets its watch run out, and asks for nothing besides.
+        prefix: Prefix of the keys.
+        confirm: Called with the time at which there was nothing newer than the
+            watched revision.
+        should_watch: Returns whether this node is still to watch. If not, a
+            waiting watch runs out, without polls beside it.
     """
 
     def __init__(
@@ -54,17 +56,17 @@
         store: store_lib.StoreClient,
         prefix: str,
         confirm: Callable[[float], None],
-        relied_on: Callable[[], bool],
+        should_watch: Callable[[], bool],
     ):
         self._store = store
         self._prefix = prefix
         self._confirm = confirm
-        self._relied_on = relied_on
+        self._should_watch = should_watch
         self._waiting: asyncio.Task[store_lib.Events] | None = None
         self._stopped = False
 
     def stop(self) -> None:
-        """Ends a watch that waits."""
+        """Ends a waiting watch."""
         self._stopped = True
         if self._waiting is not None:
             self._waiting.cancel()
@@ -73,8 +75,9 @@
         """Waits for changes after a revision; may return none.
 
         Raises:
-            HistoryGoneError: Read everything again instead.
-            PlatformUnavailableError: The store is silent.
+            HistoryGoneError: The store no longer has the changes since then;
+                the caller has to read everything again.
+            PlatformUnavailableError: The store does not answer.
             StoppedError: `stop` was called.
         """
         self._stopped = False
@@ -88,7 +91,9 @@
                 {watch, check}, return_when=asyncio.FIRST_COMPLETED
             )
             if self._stopped:
-                raise StoppedError("what was read is no longer of use.")
+                raise StoppedError(
+                    "the watch was stopped; read all items again."
+                )
             return (watch if watch in done else check).result()
         finally:
             self._waiting = None
@@ -96,24 +101,24 @@
             check.cancel()
 
     async def _check(self, after: int) -> store_lib.Events:
-        """Returns changes that the watch should have brought.
+        """Polls until there are changes that the watch has not delivered.
 
         Raises:
-            PlatformUnavailableError: The store is silent.
+            PlatformUnavailableError: The store does not answer.
         """
         known = after
         while True:
             await asyncio.sleep(_PING_S)
-            if not self._relied_on():
+            if not self._should_watch():
                 continue
             asked_s = time.monotonic()
             if await self._store.ping() > known:
-                await asyncio.sleep(_OWN_NEWS_S)
+                await asyncio.sleep(_DELIVERY_S)
                 asked_s = time.monotonic()
                 page = await self._store.read(self._prefix, stale=True)
                 missed = tuple(i for i in page.items if i.revision > after)
                 if missed:
                     return store_lib.Events(missed, page.revision)
-                # Other keys have changed; the watch still waits for these.
+                # Only keys outside the prefix have changed; the watch goes on.
                 known = page.revision
             self._confirm(asked_s)
