--- a/packages/burdockfront-node/src/burdockfront_node/controllers/platform.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/platform.py
@@ -1,7 +1,7 @@
 """Client of the platform's key-value service: writes, leases, watches.
 
-Every call is counted against this node's budget and passes a breaker, so an
-outage costs the service nothing and its end is not met by a stampede.
+Each call consumes this node's call budget and passes a circuit breaker: nodes
+put no load on the service in an outage, and do not stampede when it ends.
 """
 
 import asyncio
@@ -17,11 +17,12 @@
 from burdockfront_node.controllers import store_link
 
 _BURST = 8
-_PATIENCE_S = 4.0
+# How long an operator's call waits for the budget.
+_BUDGET_WAIT_S = 4.0
 _POLL_S = 0.05
 _FIRST_WAIT_S = 0.2
-_MOST_WAIT_S = 5.0
-# Somebody else was first: another revision, or another holder.
+_MAX_WAIT_S = 5.0
+# Conflict: the key has another revision, or the lease another holder.
 _REFUSALS = frozenset([409])
 
 
@@ -54,18 +55,18 @@
 
 
 class PlatformNotAskedError(errors.PlatformUnavailableError):
-    """The call was not sent: it provably had no effect."""
+    """The call was not sent, so it had no effect."""
 
     def __init__(self) -> None:
         super().__init__(
-            "the platform service is not asked now (it failed lately, or "
-            "this node's call budget is spent), so nothing was changed; try "
-            "again in seconds."
+            "the call to the platform service was not sent (the service failed "
+            "recently, or this node's call budget is exhausted), so nothing "
+            "was changed; try again in seconds."
         )
 
 
 class PlatformClient:
-    """Asks the platform's service within a budget.
+    """Calls the platform's service within a budget.
 
     Args:
         settings: Address, rate and timeouts.
@@ -79,7 +80,7 @@
         self._budget = platform_budget.CallBudget(settings.rate_per_s, _BURST)
         self.link = store_link.StoreLink(
             settings.address,
-            platform_budget.Backoff(_FIRST_WAIT_S, _MOST_WAIT_S, rng),
+            platform_budget.Backoff(_FIRST_WAIT_S, _MAX_WAIT_S, rng),
             fresh=True,
         )
 
@@ -93,7 +94,8 @@
             wait_for_budget: Wait for the budget instead of failing.
 
         Raises:
-            PlatformUnavailableError: No answer, or the budget is spent.
+            PlatformUnavailableError: No valid answer, or the budget is
+                exhausted.
         """
         target = f"/kv?prefix={prefix}"
         data = await self._ask("GET", target, None, 0.0, wait_for_budget)
@@ -102,11 +104,12 @@
     async def watch(self, prefix: str, after: int) -> Snapshot:
         """Waits for items newer than a revision; may return none.
 
-        The wait is bounded on both sides: a watch whose connection went
-        silent ends by our own timeout and is made again on a new one.
+        The wait is bounded on both sides: a watch on a dead connection ends by
+        this node's own timeout, and is repeated on a new connection.
 
         Raises:
-            PlatformUnavailableError: No answer, or the budget is spent.
+            PlatformUnavailableError: No valid answer, or the budget is
+                exhausted.
         """
         wait_s = self._settings.watch_s
         target = f"/watch?prefix={prefix}&after={after}&wait_s={wait_s}"
@@ -122,8 +125,9 @@
 
         Raises:
             WriteConflictError: The key has another revision.
-            PlatformNotAskedError: It was not sent: it had no effect.
-            PlatformUnavailableError: No answer: it may have taken effect.
+            PlatformNotAskedError: The call was not sent: it had no effect.
+            PlatformUnavailableError: No valid answer: the write may have taken
+                effect.
         """
         body = {"value": value, "expected": expected}
         data = await self._ask(
@@ -136,10 +140,11 @@
     async def acquire(
         self, name: str, holder: str, duration_s: float
     ) -> leases.Grant | None:
-        """Acquires or renews a lease; None when somebody else holds it.
+        """Acquires or renews a lease; None if it has another holder.
 
         Raises:
-            PlatformUnavailableError: No answer, or the budget is spent.
+            PlatformUnavailableError: No valid answer, or the budget is
+                exhausted.
         """
         body = {"holder": holder, "duration_s": duration_s}
         data = await self._ask("POST", f"/lease/{name}", body, 0.0)
@@ -159,7 +164,7 @@
         wait_s: float,
         wait_for_budget: bool = False,
     ) -> dict[str, Any]:
-        await self._take_budget(_PATIENCE_S if wait_for_budget else 0.0)
+        await self._take_budget(_BUDGET_WAIT_S if wait_for_budget else 0.0)
         reply = await self.link.ask(
             store_link.StoreRequest(method, target, body),
             wait_s + self._settings.timeout_s,
@@ -167,9 +172,9 @@
         )
         return reply.data
 
-    async def _take_budget(self, patience_s: float) -> None:
-        """Takes one call from the budget, waiting for it if allowed."""
-        until_s = time.monotonic() + patience_s
+    async def _take_budget(self, max_wait_s: float) -> None:
+        """Takes one call from the budget, waiting at most `max_wait_s`."""
+        until_s = time.monotonic() + max_wait_s
         while True:
             now_s = time.monotonic()
             if not self.link.backoff.open(now_s) and self._budget.take(now_s):
@@ -182,9 +187,8 @@
 def snapshot_from_json(data: dict[str, Any]) -> Snapshot:
     """Reads an answer of the service.
 
-    A value that is no object was not written by us. It is read as an empty
-    one, which is rejected where it is used, so that a stray value costs its
-    own key and not all others.
+    Nodes write only objects. Any other value is read as an empty object, which
+    is rejected where it is used, so a stray value affects only its own key.
     """
     items = tuple(
         Item(item["key"], _object(item["value"]), item["revision"])
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/policies.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/policies.py
@@ -1,8 +1,9 @@
-"""Policies between the platform's service and the nodes.
+"""Synchronizes policies between the platform's service and the nodes.
 
-Few nodes per data centre watch the service; all others hear from their peers.
-Who watches follows from the members' names alone, so it needs no agreement:
-if views differ for a while, one node more or less watches, which is harmless.
+Few nodes of each data centre watch the service; all others receive changes from
+their peers. The watchers follow from the members' names alone, without an
+agreement: while views of the members differ, one node more or less watches,
+which is harmless.
 """
 
 import asyncio
@@ -25,16 +26,16 @@
 WATCHERS_PER_DATA_CENTER = 2
 _HISTORY = 20
 _IDLE_S = 1.0
-_SETTLE_TRIES = 5
-_SETTLE_WAIT_S = 0.3
+_READ_BACK_TRIES = 5
+_READ_BACK_PAUSE_S = 0.3
 
 
 class Policies:
-    """Reads, watches and writes documents.
+    """Reads, watches and writes policy documents.
 
     Args:
-        platform: Client of the platform's service; None runs without one.
-        exchange: Passes documents on to peers.
+        platform: Client of the platform's service; None: there is none.
+        exchange: Distributes documents to peers.
     """
 
     def __init__(
@@ -47,13 +48,13 @@
         self._after = 0
 
     async def read(self) -> bool:
-        """Reads all documents; False when the service can't be asked."""
+        """Reads all documents; returns False if the service is unavailable."""
         if self._platform is None:
             return False
         try:
             self._take(await self._platform.read(PREFIX))
         except errors.PlatformUnavailableError as error:
-            _LOG.warning("policies not read", extra={"why": str(error)})
+            _LOG.warning("reading policies failed", extra={"why": str(error)})
             return False
         return True
 
@@ -72,9 +73,9 @@
 
     def watching(self) -> bool:
         """Whether this node is one of its data centre's watchers."""
-        me = self._exchange.membership.local_member
-        return me.node_id in watchers_of(
-            self._exchange.membership.usable(), me.data_center
+        local = self._exchange.membership.local_member
+        return local.node_id in watchers_of(
+            self._exchange.membership.usable(), local.data_center
         )
 
     async def change(
@@ -92,17 +93,17 @@
             service: The document.
             path: Field names joined by dots.
             value: New value.
-            expected: Revision that the operator decided upon.
+            expected: Revision on which the operator based the change.
             who: The operator, for the history.
             change_id: Unique id of this change.
 
         Returns:
-            The new revision and the line of history.
+            The new revision and the history entry.
 
         Raises:
             PolicyError: The result would not be valid.
-            RevisionConflictError: Somebody else changed it first.
-            WriteUnsettledError: It is unknown whether it took effect.
+            RevisionConflictError: The document has another revision.
+            WriteUnsettledError: It is unknown whether the change took effect.
             PlatformUnavailableError: Nothing was written.
         """
         if self._platform is None:
@@ -140,10 +141,10 @@
         return {"revision": written.revision, "line": line}
 
     async def history(self, service: str) -> list[dict[str, Any]]:
-        """Returns the lines of history of a document, oldest first.
+        """Returns the history entries of a document, oldest first.
 
         Raises:
-            PlatformUnavailableError: The service can't be asked.
+            PlatformUnavailableError: The service is unavailable.
         """
         current = await self._current(service)
         return list(current.value.get("history", [])) if current else []
@@ -167,11 +168,12 @@
         expected: int,
         change_id: str,
     ) -> platform_lib.Item:
-        """Writes, and settles a write whose answer was lost.
+        """Writes, and reads back a write whose answer was lost.
 
-        A write can take effect while its answer is lost. Symptom: the
-        operator repeats it and meets a conflict with himself, or believes
-        that nothing happened. Reading back the change id tells which.
+        A write can take effect while its answer is lost. Symptom: the operator
+        repeats the change and gets a conflict with the first attempt, or
+        assumes that nothing happened. The change id in the document that is
+        read back shows whether the write took effect.
         """
         assert self._platform is not None
         key = PREFIX + service
@@ -185,24 +187,24 @@
         except platform_lib.PlatformNotAskedError:
             raise
         except errors.PlatformUnavailableError:
-            return await self._settle(service, expected, change_id)
+            return await self._read_back(service, expected, change_id)
 
-    async def _settle(
+    async def _read_back(
         self, service: str, expected: int, change_id: str
     ) -> platform_lib.Item:
-        """Returns the item as it stands, once our write is found in it.
+        """Returns the current item once it contains this node's write.
 
-        Somebody may have written on top already. Then theirs is what has to
-        be published: our document under their revision would differ for ever
-        between nodes that heard of the one or the other.
+        Another write may have followed already. Then the later document has to
+        be published: with this node's document under the later revision, nodes
+        would keep different documents of the same revision for ever.
         """
-        for _ in range(_SETTLE_TRIES):
-            await asyncio.sleep(_SETTLE_WAIT_S)
+        for _ in range(_READ_BACK_TRIES):
+            await asyncio.sleep(_READ_BACK_PAUSE_S)
             try:
                 current = await self._current(service)
             except errors.PlatformUnavailableError:
                 continue
-            if current is not None and _wrote(current, change_id):
+            if current is not None and _contains(current, change_id):
                 return current
             if current is not None and current.revision != expected:
                 raise errors.RevisionConflictError(
@@ -213,11 +215,12 @@
     def _take(self, snapshot: platform_lib.Snapshot) -> None:
         for item in snapshot.items:
             self._publish(item)
-        # A stale read may be older than what we saw: never watch from there.
+        # A stale read may be older than what was already received: never watch
+        # from its revision.
         self._after = max(self._after, snapshot.revision)
 
     def _publish(self, item: platform_lib.Item) -> None:
-        """Puts a document in force here and passes it on."""
+        """Activates a document here and distributes it to peers."""
         entry = configuration_lib.entry_of(
             item.key.removeprefix(PREFIX),
             item.revision,
@@ -230,7 +233,7 @@
 def watchers_of(
     members: list[members_lib.Member], data_center: str
 ) -> list[str]:
-    """Returns the ids of the nodes that watch for a data centre."""
+    """Returns the ids of the watchers of a data centre."""
     near = [m.node_id for m in members if m.data_center == data_center]
     near.sort(key=lambda node_id: xxhash.xxh3_64_intdigest(node_id.encode()))
     return near[:WATCHERS_PER_DATA_CENTER]
@@ -253,6 +256,6 @@
     return target
 
 
-def _wrote(current: platform_lib.Item, change_id: str) -> bool:
+def _contains(current: platform_lib.Item, change_id: str) -> bool:
     lines = current.value.get("history", [])
     return any(line["change_id"] == change_id for line in lines)
--- a/tests/unit/test_policies.py
+++ b/tests/unit/test_policies.py
@@ -1,4 +1,4 @@
-"""Writes to the platform service: what is said of one that went wrong."""
+"""Errors of failed writes to the platform service."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 from burdockfront_node.controllers import policies
 
 
-class _PlatformThatIsNotAsked:
-    """Stands in for a client whose budget or breaker forbids the write."""
+class _PlatformWithoutBudget:
+    """Stands in for a client whose budget or breaker prevents the write."""
 
     async def read(self, prefix, wait_for_budget=False):
         return platform.Snapshot(7, ())
@@ -18,10 +18,10 @@
         raise platform.PlatformNotAskedError()
 
 
-def test_write_that_was_never_sent_is_not_called_unsettled():
-    # The node's call budget is spent, so the write is not even sent. Told
-    # "unsettled", the operator would wait for a change that can't come.
-    controller = policies.Policies(_PlatformThatIsNotAsked(), None)
+def test_write_that_was_never_sent_is_not_reported_as_unsettled():
+    # The node's call budget is exhausted, so the write is not sent. After the
+    # error "unsettled", the operator would wait for a change that can't come.
+    controller = policies.Policies(_PlatformWithoutBudget(), None)
     change = controller.change(
         "fees", "retry.allowance", 1, None, "tester", "c-1"
     )
--- a/tests/unit/test_route_peers.py
+++ b/tests/unit/test_route_peers.py
@@ -84,7 +84,7 @@
 
 
 def test_failure_is_reported_soon_when_the_only_announcing_peer_froze():
-    """Guards against waiting for the timeout when there is no other peer to ask.
+    """Guards against waiting for the timeout when no other peer can be asked.
 
     The store is asked as soon as the failure is reported.
     """
