--- a/tests/properties/test_routes_among_nodes.py
+++ b/tests/properties/test_routes_among_nodes.py
@@ -1,14 +1,15 @@
-"""Routes of operators among nodes that are killed, cut off and turned away.
+"""Distribution of route tables among nodes that fail and are isolated.
 
-Any sequence of changes, kills, starts, cuts, refusals and silence of the store,
-answers to watches that are lost, and all who watch lost in one moment, played
-by the real controllers in virtual time. What must hold:
+Runs the real controllers in virtual time with any sequence of changes, killed
+and started nodes, network partitions, a store that rejects or does not answer
+some nodes, lost answers to watches, and failures of all watchers at once. It
+must hold that
 
-* the version in force at a process never goes back;
-* a change is in force within two seconds at every node that has run for three
+* the active version of a process never goes back;
+* a change is active within two seconds at every node that has run for three
   seconds and that the store or a peer reaches, once the store has answered all
-  for three seconds; within seven where it answers some and not others;
-* when all is well again, all nodes know each other and the last change.
+  nodes for three seconds; within seven while it does not answer some of them;
+* after all faults, all nodes know each other and the last change.
 """
 
 import asyncio
@@ -22,31 +23,31 @@
 from burdockfront_bench import virtual_time
 
 _NODES = 12
-_PLACES = 3
-_IN_FORCE_S = 2.0
+_DATA_CENTERS = 3
+_ACTIVE_S = 2.0
 _RUNNING_S = 3.0
 _CALM_S = 40.0
 
-# While the store is silent to some, changes may be later by so much.
-_STRETCH_S = 5.0
-# How long those who watch are frozen or cut off.
-_STRUCK_S = 2.5
-# An outage that is shorter than what nodes could notice.
+# How much longer a change may take while the store does not answer some nodes.
+_EXTRA_S = 5.0
+# How long watchers are frozen or cut off.
+_WATCHER_FAULT_S = 2.5
+# Duration of an outage too short for nodes to detect.
 _SHORT_S = 0.3
 _KINDS = [
     "change",
     "kill",
     "start",
-    "cut",
-    "heal",
-    "refuse",
-    "serve",
-    "silence",
-    "hush",
-    "lose",
-    "part",
-    "join",
-    "strike",
+    "isolate",
+    "reconnect",
+    "reject",
+    "accept",
+    "ignore",
+    "outage",
+    "lose-answers",
+    "partition",
+    "rejoin",
+    "fail-watchers",
 ]
 
 _STEPS = strategies.lists(
@@ -60,20 +61,22 @@
 )
 
 
-class _Play:
-    """One fleet, and what its nodes had in force so far."""
+class _Scenario:
+    """A fleet under faults, and the versions that its nodes have activated."""
 
     def __init__(self, seed: int):
-        self.fleet = exchange_model.Fleet(_NODES, _PLACES, seed)
+        self.fleet = exchange_model.Fleet(_NODES, _DATA_CENTERS, seed)
         self.version = 1
-        # By the name of the process.
+        # By the id of the process.
         self._since_s: dict[str, float] = {}
         self._seen: dict[str, int] = {}
         self._changes_s: list[tuple[int, float]] = []
-        # When the store was last silent to some, and to all or lost answers.
-        self._silent_s = self._lost_s = float("-inf")
-        # Frozen or cut off from everything, so that nobody is excused but them.
-        self._struck: set[str] = set()
+        # When the store last did not answer some nodes, and when it last did
+        # not answer any node or lost answers.
+        self._unanswered_s = self._outage_s = float("-inf")
+        # Failed watchers: frozen or cut off from everything. The longer bound
+        # does not apply to other nodes because of them.
+        self._failed_watchers: set[str] = set()
 
     async def begin(self) -> None:
         await self.fleet.start_all()
@@ -94,106 +97,106 @@
             fleet.kill(number)
         elif kind == "start" and not running:
             fleet.start(number)
-        elif kind == "cut" and len(fleet.faults.cut) < _NODES // 3:
+        elif kind == "isolate" and len(fleet.faults.cut) < _NODES // 3:
             fleet.faults.cut.add(name)
-        elif kind == "heal":
+        elif kind == "reconnect":
             fleet.faults.cut.discard(name)
-        elif kind == "refuse":
+        elif kind == "reject":
             if len(fleet.faults.store_refuses) < _NODES // 3:
                 fleet.faults.store_refuses.add(name)
-        elif kind == "serve":
+        elif kind == "accept":
             fleet.faults.store_refuses.discard(name)
             fleet.faults.store_silent.discard(name)
-        elif kind == "silence":
+        elif kind == "ignore":
             if len(fleet.faults.store_silent) < _NODES // 3:
                 fleet.faults.store_silent.add(name)
-        elif kind == "part":
-            fleet.faults.cut_data_centers.add(f"dc{number % _PLACES}")
-        elif kind == "join":
+        elif kind == "partition":
+            fleet.faults.cut_data_centers.add(f"dc{number % _DATA_CENTERS}")
+        elif kind == "rejoin":
             fleet.faults.cut_data_centers.clear()
-        elif kind == "strike":
-            self._strike_watchers(number)
+        elif kind == "fail-watchers":
+            self._fail_watchers(number)
         else:
-            self._lose_news(kind)
+            self._start_outage(kind)
 
-    def _strike_watchers(self, number: int) -> None:
-        """Freezes all who watch the store, as some node believes."""
+    def _fail_watchers(self, number: int) -> None:
+        """Freezes all watchers, in the view of a given node."""
         faults = self.fleet.faults
-        knows = self.fleet.nodes[f"node-{number}"].membership
-        chosen = watchers.watchers_of(knows)
-        names = {member.node_id for member in chosen} - self._struck
+        membership = self.fleet.nodes[f"node-{number}"].membership
+        chosen = watchers.watchers_of(membership)
+        names = {member.node_id for member in chosen} - self._failed_watchers
         names -= faults.cut | faults.store_silent
         faults.cut |= names
         faults.store_silent |= names
-        self._struck |= names
+        self._failed_watchers |= names
 
-        def over() -> None:
+        def end() -> None:
             faults.cut -= names
             faults.store_silent -= names
-            self._struck -= names
+            self._failed_watchers -= names
 
-        asyncio.get_running_loop().call_later(_STRUCK_S, over)
+        asyncio.get_running_loop().call_later(_WATCHER_FAULT_S, end)
 
-    def _lose_news(self, kind: str) -> None:
-        """Has the store be silent to all, or lose answers, for a moment."""
+    def _start_outage(self, kind: str) -> None:
+        """Makes the store answer no node, or lose answers, for a moment."""
         faults = self.fleet.faults
         before = set(faults.store_silent)
 
-        def over() -> None:
+        def end() -> None:
             faults.watches_lost = 0.0
             faults.store_silent.intersection_update(before)
 
-        if kind == "lose":
+        if kind == "lose-answers":
             faults.watches_lost = 1.0
         else:
             faults.store_silent.update(self.fleet.nodes)
         loop = asyncio.get_running_loop()
-        self._lost_s = loop.time() + _SHORT_S
-        loop.call_later(_SHORT_S, over)
+        self._outage_s = loop.time() + _SHORT_S
+        loop.call_later(_SHORT_S, end)
 
-    async def watch(self, for_s: float) -> None:
-        """Lets time pass, and looks at every node meanwhile."""
+    async def observe(self, for_s: float) -> None:
+        """Lets time pass, and checks every node meanwhile."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + for_s
         while loop.time() < until_s:
             await asyncio.sleep(0.05)
-            if self.fleet.faults.store_silent - self._struck:
-                self._silent_s = loop.time()
+            if self.fleet.faults.store_silent - self._failed_watchers:
+                self._unanswered_s = loop.time()
             for node in self.fleet.living():
-                self._look_at(node, loop.time())
+                self._check(node, loop.time())
 
-    def _look_at(self, node: exchange_model.Node, now_s: float) -> None:
+    def _check(self, node: exchange_model.Node, now_s: float) -> None:
         process = node.membership.local_member.boot_id
         version = node.book.version
         assert version >= self._seen.get(process, -1), "went back"
         self._seen[process] = version
-        if not self._reached(node):
-            # Counted anew from the moment in which it is reached again.
+        if not self._is_reached(node):
+            # The time starts again when the node is reached again.
             self._since_s.pop(process, None)
             return
         since_s = self._since_s.setdefault(process, now_s)
         if now_s - since_s < _RUNNING_S:
             return
-        if now_s - self._lost_s < _RUNNING_S:
+        if now_s - self._outage_s < _RUNNING_S:
             return
-        late = now_s - self._silent_s < _RUNNING_S
-        bound_s = _IN_FORCE_S + (_STRETCH_S if late else 0.0)
+        late = now_s - self._unanswered_s < _RUNNING_S
+        bound_s = _ACTIVE_S + (_EXTRA_S if late else 0.0)
         for changed, at_s in self._changes_s:
             if now_s - at_s > bound_s:
                 assert version >= changed, (node.name, changed)
 
-    def _reached(self, node: exchange_model.Node) -> bool:
+    def _is_reached(self, node: exchange_model.Node) -> bool:
         """Whether the store, or peers that it serves, reach a node."""
         faults = self.fleet.faults
-        turned_away = faults.store_refuses | faults.store_silent
-        if node.name not in turned_away:
+        unserved = faults.store_refuses | faults.store_silent
+        if node.name not in unserved:
             return True
         if node.name in faults.cut:
             return False
-        apart = node.data_center in faults.cut_data_centers
+        partitioned = node.data_center in faults.cut_data_centers
         return any(
-            peer.name not in turned_away | faults.cut
-            and (not apart or peer.data_center == node.data_center)
+            peer.name not in unserved | faults.cut
+            and (not partitioned or peer.data_center == node.data_center)
             and (
                 peer.data_center == node.data_center
                 or peer.data_center not in faults.cut_data_centers
@@ -202,7 +205,7 @@
         )
 
     async def end(self) -> None:
-        """Ends all faults, and waits until all is well."""
+        """Ends all faults, and checks that all nodes recover."""
         faults = self.fleet.faults
         faults.cut.clear()
         faults.store_refuses.clear()
@@ -210,18 +213,18 @@
         faults.cut_data_centers.clear()
         for name in list(faults.down):
             self.fleet.start(int(name.partition("-")[2]))
-        await self.watch(_CALM_S)
+        await self.observe(_CALM_S)
         assert exchange_model.all_know_all(self.fleet)
         assert exchange_model.all_have(self.fleet, self.version)
 
 
 async def _play(steps: list[tuple[str, int, float]], seed: int) -> None:
-    play = _Play(seed)
-    await play.begin()
+    scenario = _Scenario(seed)
+    await scenario.begin()
     for kind, number, pause_s in steps:
-        play.step(kind, number)
-        await play.watch(pause_s)
-    await play.end()
+        scenario.step(kind, number)
+        await scenario.observe(pause_s)
+    await scenario.end()
 
 
 @hypothesis.settings(max_examples=25, deadline=None, derandomize=True)
@@ -230,7 +233,7 @@
     virtual_time.run(_play(steps, seed))
 
 
-def test_long_series_of_faults_keeps_every_promise():
+def test_long_series_of_faults_keeps_every_bound():
     rng = random.Random(4)
     steps = [
         (rng.choice(_KINDS), rng.randrange(_NODES), rng.uniform(0.05, 2.0))
--- a/tests/route_chain.py
+++ b/tests/route_chain.py
@@ -1,4 +1,4 @@
-"""The filter of a node with routes, with a place around it."""
+"""The route filter of a node, with a simulated environment."""
 
 import asyncio
 import random
@@ -19,13 +19,13 @@
 
 
 class RouteChain:
-    """A filter of routes, and what it uses.
+    """A route filter and its dependencies.
 
     Args:
-        table: The table in force; None: none is known.
-        new_work: Whether requests are taken for callers'.
-        parent: The request that each one is made for.
-        quotas: What accounts may spend.
+        table: The active table; None: there is none.
+        new_work: Whether requests count as requests of callers.
+        parent: The request on whose behalf each request is made.
+        quotas: Quotas of the accounts.
     """
 
     def __init__(
@@ -57,17 +57,17 @@
             lambda call: None,
             routed,
         )
-        self._link = route_lib.RouteFilter(tools)
+        self._filter = route_lib.RouteFilter(tools)
 
     def run(
         self, entry: base.Entry, answer: outcomes.Answer | None = None
     ) -> outcomes.Answer:
-        """Brings an entry through, and returns what its caller gets."""
+        """Filters an entry, and returns the answer to its caller."""
 
         async def last(entry: base.Entry) -> outcomes.Answer:
             return answer or builders.an_answer()
 
-        return asyncio.run(self._link(entry, last))
+        return asyncio.run(self._filter(entry, last))
 
 
 def an_entry(
