--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_limits.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_limits.py
@@ -12,13 +12,13 @@
     """The limits of the accounts in the active table.
 
     Args:
-        book: The active table.
+        resolver: Holds the active table.
         slack: Requests beyond a limit that operators tolerate, in a window.
     """
 
-    def __init__(self, book: routes_lib.RouteResolver, slack: float):
-        self._book = book
-        self._version = book.version
+    def __init__(self, resolver: routes_lib.RouteResolver, slack: float):
+        self._resolver = resolver
+        self._version = resolver.version
         self._new_since_s: dict[str, float] = {}
         # Added to the burst: callers of a small account come in bunches.
         self._extra_burst = slack / 4
@@ -29,15 +29,15 @@
     @property
     def any_limited(self) -> bool:
         """Whether any account has a limit."""
-        return bool(self._book.accounts.limited)
+        return bool(self._resolver.accounts.limited)
 
     def refresh(self, now_s: float) -> None:
         """Records accounts that became limited since the last call."""
-        if self._book.version == self._version:
+        if self._resolver.version == self._version:
             return
-        newly_limited = self._book.accounts.newly_limited
+        newly_limited = self._resolver.accounts.newly_limited
         self._new_since_s = dict.fromkeys(newly_limited, now_s)
-        self._version = self._book.version
+        self._version = self._resolver.version
 
     def is_new(self, account: str, now_s: float) -> bool:
         """Whether an account became limited within the last few seconds."""
@@ -46,7 +46,7 @@
 
     def limit_of(self, account: str) -> quotas.Limit | None:
         """Returns the limit of an account; None without one."""
-        found = self._book.accounts.get(account)
+        found = self._resolver.accounts.get(account)
         if found is None or not found.rate_per_s:
             return None
         depth = found.burst + self._extra_burst
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_activation.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_activation.py
@@ -17,7 +17,7 @@
 
     Args:
         read_table: Reads a table from an item of the store.
-        book: The active table.
+        resolver: Holds the active table.
         recorder: Where events go.
         on_activated: Called after a table was activated, with the address of
             the node that it came from; empty if it came from the store.
@@ -28,13 +28,13 @@
     def __init__(
         self,
         read_table: ReadTable,
-        book: routes.RouteResolver,
+        resolver: routes.RouteResolver,
         recorder: timeline.Recorder,
         on_activated: Callable[[str], None],
         age_s: Callable[[], float | None],
     ):
         self._read_table = read_table
-        self._book = book
+        self._resolver = resolver
         self._recorder = recorder
         self._on_activated = on_activated
         self._age_s = age_s
@@ -80,9 +80,9 @@
     def _activate(
         self, table: routes.RouteTable, source: str, address: str
     ) -> None:
-        before = self._book.version
+        before = self._resolver.version
         age_s = self._age_s()
-        if not self._book.accept(table):
+        if not self._resolver.accept(table):
             return
         self._has_table.set()
         self._on_activated(address)
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_freshness.py
@@ -49,7 +49,7 @@
     When the confirmation expires, records an event and reads the store.
 
     Args:
-        book: The active table.
+        resolver: Holds the active table.
         recorder: Where events go.
         duty: Returns this node's current view of its part in watching.
         read: Reads the table from the store.
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        book: routes.RouteResolver,
+        resolver: routes.RouteResolver,
         recorder: timeline.Recorder,
         duty: Callable[[], Duty],
         read: Callable[[], Awaitable[None]],
@@ -66,7 +66,7 @@
     ):
         self._read = read
         self._rng = rng
-        self._book = book
+        self._resolver = resolver
         self._recorder = recorder
         self._duty = duty
         self._freshness = freshness.Freshness()
@@ -77,7 +77,7 @@
         """Returns the active version and the age of its last confirmation."""
         age_s = self._freshness.age_s(time.monotonic())
         rounded_s = None if age_s is None else round(age_s, 2)
-        return freshness.Claim(self._book.version, rounded_s)
+        return freshness.Claim(self._resolver.version, rounded_s)
 
     def confirm(self, at_s: float, source: str) -> None:
         """Records that the active table was the newest at a given time."""
@@ -88,7 +88,7 @@
 
     def on_claim(self, address: str, claim: freshness.Claim) -> None:
         """Confirms the active table by a peer's claim about its version."""
-        if claim.age_s is None or claim.version != self._book.version:
+        if claim.age_s is None or claim.version != self._resolver.version:
             return
         self.confirm(time.monotonic() - claim.age_s, address)
 
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_joining.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_joining.py
@@ -22,7 +22,7 @@
         directory: Where peers are found.
         exchange: Exchanges members with the peers.
         route_watch: Reads the table from the store.
-        book: The active table.
+        resolver: Holds the active table.
         recorder: Where events go.
         on_members: Called when the members are known.
         on_ready: Called once, when this node may receive requests of callers.
@@ -33,7 +33,7 @@
         directory: directory_lib.Directory,
         exchange: exchange_lib.Exchange,
         route_watch: route_watch_lib.RouteWatch,
-        book: routes_lib.RouteResolver,
+        resolver: routes_lib.RouteResolver,
         recorder: timeline.Recorder,
         on_members: Callable[[], None],
         on_ready: Callable[[], None],
@@ -41,7 +41,7 @@
         self._directory = directory
         self._exchange = exchange
         self._route_watch = route_watch
-        self._book = book
+        self._resolver = resolver
         self._recorder = recorder
         self._on_members = on_members
         self._on_ready = on_ready
@@ -54,7 +54,7 @@
         this node at its old address.
         """
         joined = False
-        while not joined or self._book.table is None:
+        while not joined or self._resolver.table is None:
             joined = joined or await self._join()
             self._on_members()
             if self._route_watch.store_unavailable:
@@ -64,11 +64,11 @@
                 await asyncio.sleep(_PAUSE_S)
         self._on_ready()
         self._recorder.record(
-            time.time(), "node.ready", routes=self._book.version
+            time.time(), "node.ready", routes=self._resolver.version
         )
 
     def _lacks_table(self) -> bool:
-        return self._book.table is None or self._route_watch.is_behind
+        return self._resolver.table is None or self._route_watch.is_behind
 
     async def _join(self) -> bool:
         try:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_peers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_peers.py
@@ -27,7 +27,7 @@
     """Asks peers for their table.
 
     Args:
-        book: The active table.
+        resolver: Holds the active table.
         link: Sends messages to peers.
         accept: Takes a table and the address of the peer that sent it.
         on_fetch_failure: Called when a newer table was announced but could not
@@ -36,12 +36,12 @@
 
     def __init__(
         self,
-        book: routes.RouteResolver,
+        resolver: routes.RouteResolver,
         link: peer_link.PeerLink,
         accept: Callable[[routes.RouteTable, str], None],
         on_fetch_failure: Callable[[], None],
     ):
-        self._book = book
+        self._resolver = resolver
         self._link = link
         self._accept = accept
         self._on_fetch_failure = on_fetch_failure
@@ -64,7 +64,7 @@
             version: Version that the peer announced.
             delay_s: Time to wait first, as the table may arrive by other means.
         """
-        if version <= self._book.version:
+        if version <= self._resolver.version:
             return
         self._announced[address] = version
         if not self.fetching:
@@ -90,17 +90,17 @@
         """Asks the announcing peers in turn until no newer table is known."""
         if delay_s:
             await asyncio.sleep(delay_s)
-        wanted = self._book.version
+        wanted = self._resolver.version
         while (address := self._next()) is not None:
             wanted = max(wanted, self._announced.pop(address))
             await self._ask(address)
-        if wanted > self._book.version:
+        if wanted > self._resolver.version:
             # The peers that know the table may all have failed.
             self._on_fetch_failure()
 
     def _next(self) -> str | None:
         """Returns the first of the peers that announced the newest version."""
-        current = self._book.version
+        current = self._resolver.version
         self._announced = {
             a: v for a, v in self._announced.items() if v > current
         }
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_watch.py
@@ -71,11 +71,11 @@
         store: Client of the store.
         prefix: Prefix of operators' keys.
         read_table: Reads a table from an item.
-        book: The active table.
+        resolver: Holds the active table.
         link: Sends messages to peers.
         recorder: Where events go.
         on_store_recovered: Called when the store answers again after failures.
-        others: Notifies the peers of what this node learns.
+        notifier: Notifies the peers of what this node learns.
         rng: Source of randomness.
 
     Attributes:
@@ -88,17 +88,17 @@
         store: store_lib.StoreClient,
         prefix: str,
         read_table: route_activation.ReadTable,
-        book: routes.RouteResolver,
+        resolver: routes.RouteResolver,
         link: peer_link.PeerLink,
         recorder: timeline.Recorder,
         on_store_recovered: Callable[[], None],
-        others: other_nodes.Others,
+        notifier: other_nodes.Others,
         rng: random.Random,
     ):
-        self._others = others
+        self._notifier = notifier
         self._store = store
         self._prefix = prefix
-        self._book = book
+        self._resolver = resolver
         self._recorder = recorder
         self._on_store_recovered = on_store_recovered
         self._after = 0
@@ -112,9 +112,9 @@
         self._early_claim: tuple[str, int] | None = None
         self._activator = route_activation.RouteActivator(
             read_table,
-            book,
+            resolver,
             recorder,
-            others.tell_routes,
+            notifier.tell_routes,
             lambda: self.freshness.claim().age_s,
         )
         self.checks = route_checks.RouteChecks(
@@ -123,11 +123,14 @@
             lambda item: self._activator.accept_item(item, "check"),
             self._confirm,
             lambda: self._has_read and not self._store_unavailable,
-            others.count,
+            notifier.count,
             rng,
         )
         self._peers = route_peers.RoutePeers(
-            book, link, self._activator.accept_from_peer, self.suspect_isolation
+            resolver,
+            link,
+            self._activator.accept_from_peer,
+            self.suspect_isolation,
         )
         self._is_watcher = False
         self._has_read = False
@@ -136,7 +139,7 @@
         self._answered_at_s = 0.0
         self._duty_changed = asyncio.Event()
         self.freshness = route_freshness.RouteFreshness(
-            book, recorder, self._current_duty, self._read_once, rng
+            resolver, recorder, self._current_duty, self._read_once, rng
         )
 
     def set_watcher(self, watcher: bool) -> None:
@@ -236,7 +239,7 @@
 
     def _current_duty(self) -> route_freshness.Duty:
         return route_freshness.Duty(
-            self._is_watcher, self._store_unavailable, self._others.count()
+            self._is_watcher, self._store_unavailable, self._notifier.count()
         )
 
     async def _read_once(self) -> None:
@@ -322,7 +325,7 @@
             for address in addresses
         }
         try:
-            while asking and self._book.table is None:
+            while asking and self._resolver.table is None:
                 _, asking = await asyncio.wait(
                     asking, return_when=asyncio.FIRST_COMPLETED
                 )
@@ -331,7 +334,7 @@
         finally:
             for task in asking:
                 task.cancel()
-        return self._book.table is not None
+        return self._resolver.table is not None
 
     def _fetch_early_claim(self) -> None:
         """Fetches a table newer than the store's that a peer claimed meanwhile.
@@ -348,7 +351,7 @@
 
     def on_peer(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answers a peer that asks for the table."""
-        table = self._book.table
+        table = self._resolver.table
         return {"routes": table.to_json() if table else None}
 
     def _accept_events(self, events: store_lib.Events) -> None:
@@ -366,13 +369,13 @@
     def _on_store_failure(self, why: str) -> None:
         if not self._store_unavailable:
             self._recorder.record(time.time(), "store.lost", why=why)
-            self._others.tell_store_away(True)
+            self._notifier.tell_store_away(True)
         self._store_unavailable = True
 
     def _on_store_answer(self) -> None:
         self._answered_at_s = time.monotonic()
         if self._store_unavailable:
             self._recorder.record(time.time(), "store.regained")
-            self._others.tell_store_away(False)
+            self._notifier.tell_store_away(False)
             self._on_store_recovered()
         self._store_unavailable = False
--- a/tests/route_chain.py
+++ b/tests/route_chain.py
@@ -35,12 +35,12 @@
         parent: context_lib.RequestContext | None = None,
         quotas: base.Quotas | None = None,
     ):
-        book = routes.RouteResolver(random.Random(1))
+        resolver = routes.RouteResolver(random.Random(1))
         if table is not None:
-            book.accept(table)
+            resolver.accept(table)
         self.recorder = timeline.Recorder("n1", "dc1", 10)
         routed = base.RoutedTools(
-            book,
+            resolver,
             frozenset(["deadline"]),
             "timetable",
             lambda name: new_work,
--- a/tests/unit/test_quota_exchange.py
+++ b/tests/unit/test_quota_exchange.py
@@ -62,13 +62,13 @@
     link = _Link()
     found = []
     for number in range(count):
-        book = routes.RouteResolver(random.Random(1))
-        book.accept(builders.a_table(1, accounts=(_ACME,)))
+        resolver = routes.RouteResolver(random.Random(1))
+        resolver.accept(builders.a_table(1, accounts=(_ACME,)))
         ready = asyncio.Event()
         ready.set()
         node = quota_exchange.QuotaExchange(
             _Exchange(number, count, link),
-            quota_limits.AccountLimits(book, 20.0),
+            quota_limits.AccountLimits(resolver, 20.0),
             timeline.Recorder(f"n{number}", "dc1", 100),
             random.Random(number),
             ready,
--- a/tests/unit/test_route_peers.py
+++ b/tests/unit/test_route_peers.py
@@ -39,13 +39,13 @@
     """One node to which peers announce version 5."""
 
     def __init__(self) -> None:
-        self.book = routes.RouteResolver(random.Random(1))
+        self.resolver = routes.RouteResolver(random.Random(1))
         self.link = _Link(5)
         self.failures_s: list[float] = []
         self.peers = route_peers.RoutePeers(
-            self.book,
+            self.resolver,
             self.link,
-            lambda table, source: self.book.accept(table),
+            lambda table, source: self.resolver.accept(table),
             self._on_fetch_failure,
         )
 
@@ -64,7 +64,7 @@
         world = _World()
         world.announce_from(_FROZEN, "good:1")
         await asyncio.sleep(_SOON_S)
-        return world.book.version
+        return world.resolver.version
 
     assert virtual_time.run(scenario()) == 5
 
@@ -78,7 +78,7 @@
         await asyncio.sleep(0.05)
         world.announce_from("good:1")
         await asyncio.sleep(_SOON_S)
-        return world.book.version
+        return world.resolver.version
 
     assert virtual_time.run(scenario()) == 5
 
