--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -40,7 +40,7 @@
 
 
 class NotReadyError(errors.BurdockfrontError):
-    """A node that has just started was asked to allocate quotas."""
+    """A node that has just started cannot allocate quotas yet."""
 
     def __init__(self) -> None:
         super().__init__(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/route_announcements.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/route_announcements.py
@@ -29,9 +29,11 @@
 from burdockfront import membership as membership_lib
 from burdockfront import timeline
 
-# A node that learns of a newer table fetches it before it announces it.
+# Pause between rounds: a node that learns of a newer table fetches it before it
+# announces it.
 ROUND_INTERVAL_S = 0.3
-# A round trip between regions takes less.
+# How long a push may take before another peer is tried. A round trip between
+# regions takes less.
 PUSH_WAIT_S = 0.15
 # Multiple of the peers to reach in a round. A node that no peer answers stops
 # trying.
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/store_watch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/store_watch.py
@@ -5,10 +5,10 @@
 revision:
 
 * no answer: the store is unavailable, and the watch ends;
-* a revision after the one that is watched from: some key has changed. If the
-  key is below the prefix, the watch delivers the change within a moment.
-  Otherwise the items are read, and items newer than the watched revision end
-  the watch.
+* a revision after the watched one: some key has changed. If the key is below
+  the prefix, the watch should deliver the change within a moment. If it does
+  not, the items are read, and items newer than the watched revision end the
+  watch.
 
 The poll and the read accept a slightly stale answer, at a tenth of the price:
 if such an answer misses a change, the next one has it.
