--- a/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/exchange_model.py
@@ -106,7 +106,7 @@
             self._members_changed,
             rng,
             lambda: self.watch.freshness.claim(),
-            lambda address, claim: self.watch.heard_of(address, claim),
+            lambda address, claim: self.watch.on_claim(address, claim),
             self._doubt,
         )
         store: Any = model_store.StoreClient(
@@ -185,7 +185,7 @@
         self.keeper.on_store_recovered()
 
     def _doubt(self) -> None:
-        self.watch.doubt()
+        self.watch.suspect_isolation()
         self.keeper.on_probe_failure()
 
     def _say_ready(self) -> None:
@@ -199,7 +199,7 @@
 
     def _choose(self) -> None:
         self._due = False
-        self.watch.choose(watchers.watches(self.membership))
+        self.watch.set_watcher(watchers.watches(self.membership))
 
 
 class Fleet:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/exchange.py
@@ -35,7 +35,9 @@
 from burdockfront_node.controllers import crash_gossip as crash_gossip_lib
 from burdockfront_node.controllers import joins
 from burdockfront_node.controllers import peer_link
-from burdockfront_node.controllers import route_news as route_news_lib
+from burdockfront_node.controllers import (
+    route_announcements as route_announcements_lib,
+)
 
 PROBE = "/peer/probe"
 PROBE_FOR = "/peer/probe-for"
@@ -141,7 +143,7 @@
             self._has_changes.set,
             recorder,
         )
-        self._route_news = route_news_lib.RouteNews(
+        self._route_news = route_announcements_lib.RouteAnnouncer(
             membership, self._push_routes, settings.fanout, recorder, rng
         )
         rate = settings.members_bytes_per_s / 2
@@ -201,7 +203,7 @@
         Args:
             first: Whether no node of the same data centre sent this version.
         """
-        self._route_news.tell(self.routes().version, first)
+        self._route_news.announce(self.routes().version, first)
 
     # ---- tasks ---------------------------------------------------------
 
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -88,10 +88,10 @@
         return self._route_watch.freshness.claim()
 
     def _on_route_claim(self, address: str, claim: freshness.Claim) -> None:
-        self._route_watch.heard_of(address, claim)
+        self._route_watch.on_claim(address, claim)
 
     def _on_probe_failure(self) -> None:
-        self._route_watch.doubt()
+        self._route_watch.suspect_isolation()
         self._quarantine_store.on_probe_failure()
 
     def _build_sources(self) -> None:
@@ -109,7 +109,7 @@
         )
         self._quotas = quota_exchange_lib.QuotaExchange(
             self._exchange,
-            quota_limits.BookLimits(self._book, self._place.quota_slack),
+            quota_limits.AccountLimits(self._book, self._place.quota_slack),
             self._recorder,
             self._rng,
             self._ready,
@@ -160,7 +160,7 @@
             era=self._store_link.era,
             routes=self._book.version,
         )
-        self._route_watch.store_came_back_older()
+        self._route_watch.on_store_restored()
         self._store_returned()
 
     def _retry_burst(self) -> float:
@@ -186,7 +186,7 @@
             self._recorder.record(
                 time.time(), "watchers.changed", watchers=names
             )
-        self._route_watch.choose(self._settings.node_id in names)
+        self._route_watch.set_watcher(self._settings.node_id in names)
 
     def _new_handover(self) -> handover_lib.Handover:
         return routed_handover.RoutedHandover(
--- a/tests/unit/test_freshness.py
+++ b/tests/unit/test_freshness.py
@@ -72,8 +72,8 @@
         node = _Node()
         node.freshness.confirm(0.0, "10.0.0.2:1")
         watching = asyncio.create_task(node.freshness.watch_forever())
-        await asyncio.sleep(3 * route_freshness.UNCONFIRMED_S)
-        node.freshness.heard("10.0.0.3:1", freshness.Claim(-1, 0.5))
+        await asyncio.sleep(3 * route_freshness.CONFIRMATION_TTL_S)
+        node.freshness.on_claim("10.0.0.3:1", freshness.Claim(-1, 0.5))
         watching.cancel()
         assert node.queries > 0
         return node.events()
@@ -90,7 +90,7 @@
 def test_claim_of_another_version_does_not_confirm_the_table():
     async def scenario() -> freshness.Claim:
         node = _Node()
-        node.freshness.heard("10.0.0.3:1", freshness.Claim(4, 0.1))
+        node.freshness.on_claim("10.0.0.3:1", freshness.Claim(4, 0.1))
         return node.freshness.claim()
 
     assert virtual_time.run(scenario()).age_s is None
