--- a/tests/unit/test_watchers_lost.py
+++ b/tests/unit/test_watchers_lost.py
@@ -73,7 +73,8 @@
 ):
     """Guards against watchers that are alive to peers, but receive nothing."""
     assert (
-        _worst_s(nodes, data_centers, fleets.cut_off_from_store) < _HALF_THE_BOUND_S
+        _worst_s(nodes, data_centers, fleets.cut_off_from_store)
+        < _HALF_THE_BOUND_S
     )
 
 
