--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -18,8 +18,8 @@
 from burdockfront import self_reports
 from burdockfront_client import connection as connection_lib
 from burdockfront_client import pool as pool_lib
+from burdockfront_node import adapters
 from burdockfront_node import backend_beliefs
-from burdockfront_node import surroundings
 from burdockfront_node.controllers import heartbeats as heartbeats_lib
 from burdockfront_node.controllers import route_watch as route_watch_lib
 
@@ -53,7 +53,7 @@
         service: str,
         data_center: str,
         address: str,
-        dialect: surroundings.Dialect,
+        dialect: adapters.Dialect,
         book: routes_lib.RouteResolver,
         route_watch: route_watch_lib.RouteWatch,
         incarnations: incarnations_lib.IncarnationTracker,
@@ -98,7 +98,7 @@
             incarnation = incarnations_lib.Incarnation(health.instance_id)
             self._beliefs.answered(health.notice, incarnation, asked_s)
 
-    async def _ask(self, path: str) -> surroundings.Health | None:
+    async def _ask(self, path: str) -> adapters.Health | None:
         request = connection_lib.encode_request(
             "GET", path, self._address, (), b""
         )
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -17,6 +17,7 @@
 from burdockfront import routes as routes_lib
 from burdockfront import watchers
 from burdockfront_node import account_status as account_status_lib
+from burdockfront_node import adapters
 from burdockfront_node import availability
 from burdockfront_node import daemon as daemon_lib
 from burdockfront_node import daemon_parts
@@ -27,7 +28,6 @@
 from burdockfront_node import routed_handover
 from burdockfront_node import servers
 from burdockfront_node import settings as settings_lib
-from burdockfront_node import surroundings
 from burdockfront_node.controllers import backends as backends_lib
 from burdockfront_node.controllers import directory as directory_lib
 from burdockfront_node.controllers import exposition as exposition_lib
@@ -71,7 +71,7 @@
     def __init__(self, settings: settings_lib.NodeSettings, path: pathlib.Path):
         assert settings.routed is not None, "settings of a place with routes"
         self._place = settings.routed
-        self._adapter = surroundings.load(settings.routed.adapter)
+        self._adapter = adapters.load(settings.routed.adapter)
         self._book = routes_lib.RouteResolver(
             random.Random(secrets.randbits(64))
         )
--- a/packages/burdockfront-node/src/burdockfront_node/routed_entry.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_entry.py
@@ -6,7 +6,7 @@
 from burdockfront import errors
 from burdockfront import outcomes
 from burdockfront import routes
-from burdockfront_node import surroundings
+from burdockfront_node import adapters
 from burdockfront_node.filters import base
 from burdockfront_node.internal import messages
 
@@ -28,7 +28,7 @@
     def __init__(
         self,
         chain: base.Next,
-        dialect: surroundings.Dialect,
+        dialect: adapters.Dialect,
         book: routes.RouteResolver,
         takes_requests: Callable[[], bool],
     ):
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -16,8 +16,8 @@
 from burdockfront_client import connection as connection_lib
 from burdockfront_client import pool as pool_lib
 from burdockfront_client import wire
+from burdockfront_node import adapters
 from burdockfront_node import backend as backend_lib
-from burdockfront_node import surroundings
 
 # The backend server's own answer at its deadline is waited for this long; it
 # is on the same VM. The asking node waits a little longer still.
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        dialect: surroundings.Dialect,
+        dialect: adapters.Dialect,
         incarnations: incarnations_lib.IncarnationTracker,
         attempts: attempts_lib.AttemptBook,
     ):
@@ -72,7 +72,7 @@
                 outcomes.Reason.DEADLINE, admission.RETRY_AFTER_S
             )
         pool = self._pool_of(announced.address, current)
-        terms = surroundings.BackendTerms(
+        terms = adapters.BackendTerms(
             remaining_s,
             current.instance_id,
             attempt.call.origin_service,
@@ -114,9 +114,7 @@
             self._born_ms = current.born_ms
         return self._pool
 
-    def _encode(
-        self, call: calls.Call, terms: surroundings.BackendTerms
-    ) -> bytes:
+    def _encode(self, call: calls.Call, terms: adapters.BackendTerms) -> bytes:
         """Returns the request with the terms of this attempt."""
         headers = (*call.headers, *self._dialect.to_backend(terms))
         return connection_lib.encode_request(
@@ -146,13 +144,13 @@
         if not self._dialect.is_whole(answer):
             return outcomes.unknown(outcomes.Reason.LOST_ANSWER)
         match self._dialect.word_of(answer):
-            case surroundings.BackendWord.REJECTED:
+            case adapters.BackendWord.REJECTED:
                 refusal = outcomes.not_run(
                     outcomes.Reason.REJECTED, admission.RETRY_AFTER_S
                 )
                 refusal.notice = self._dialect.said_by(answer)
                 return refusal
-            case surroundings.BackendWord.OTHER_INCARNATION:
+            case adapters.BackendWord.OTHER_INCARNATION:
                 # The address has a new owner, which ran nothing. Until its
                 # own heartbeat comes, nothing is known of it.
                 self._incarnations.record_replaced(instance_id)
