--- a/packages/burdockfront-node/src/burdockfront_node/adapters.py
+++ b/packages/burdockfront-node/src/burdockfront_node/adapters.py
@@ -136,7 +136,7 @@
         """Reads an answer to a question for health; None if not healthy."""
 
 
-class HeartbeatTaker(Protocol):
+class HeartbeatReceiver(Protocol):
     """Takes what the backend server beside the node says of itself."""
 
     def hear(self, beat: incarnations.Heartbeat) -> None:
@@ -160,7 +160,7 @@
             InvalidInputError: It can't be read.
         """
 
-    def heartbeat_app(self, taker: HeartbeatTaker) -> Any:
+    def heartbeat_app(self, receiver: HeartbeatReceiver) -> Any:
         """Returns the ASGI application that backend servers report to."""
 
     def ready_app(self, is_ready: Callable[[], bool]) -> Any:
