--- a/packages/burdockfront-node/src/burdockfront_node/adapters.py
+++ b/packages/burdockfront-node/src/burdockfront_node/adapters.py
@@ -139,7 +139,7 @@
 class HeartbeatReceiver(Protocol):
     """Takes what the backend server beside the node says of itself."""
 
-    def hear(self, beat: incarnations.Heartbeat) -> None:
+    def on_heartbeat(self, beat: incarnations.Heartbeat) -> None:
         """Takes a heartbeat."""
 
     def leave(self, instance_id: str) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/first_look.py
@@ -81,7 +81,7 @@
         # A heartbeat that came meanwhile knows better.
         if health is None or self._incarnations.current is not None:
             return
-        self._heartbeats.hear(
+        self._heartbeats.on_heartbeat(
             incarnations_lib.Heartbeat(
                 instance_id=health.instance_id,
                 service=self._service,
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -55,7 +55,7 @@
         self._service = service
         self._told: incarnations_lib.Heartbeat | None = None
 
-    def hear(self, beat: incarnations_lib.Heartbeat) -> None:
+    def on_heartbeat(self, beat: incarnations_lib.Heartbeat) -> None:
         """Takes a heartbeat; one of a service nobody knows is left out."""
         if not self._knows(beat.service):
             self._record(
