--- a/packages/burdockfront-node/src/burdockfront_node/adapters.py
+++ b/packages/burdockfront-node/src/burdockfront_node/adapters.py
@@ -57,7 +57,7 @@
     account: str = ""
 
 
-class BackendWord(enum.Enum):
+class BackendOutcome(enum.Enum):
     """What an answer of a backend server means."""
 
     RAN = "ran"
@@ -124,7 +124,7 @@
     def is_whole(self, answer: connection.RawAnswer) -> bool:
         """Tells whether an answer has all the marks of a real one."""
 
-    def word_of(self, answer: connection.RawAnswer) -> BackendWord:
+    def outcome_of(self, answer: connection.RawAnswer) -> BackendOutcome:
         """Returns what an answer means."""
 
     def said_by(
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -143,14 +143,14 @@
     ) -> outcomes.Answer:
         if not self._dialect.is_whole(answer):
             return outcomes.unknown(outcomes.Reason.LOST_ANSWER)
-        match self._dialect.word_of(answer):
-            case adapters.BackendWord.REJECTED:
+        match self._dialect.outcome_of(answer):
+            case adapters.BackendOutcome.REJECTED:
                 refusal = outcomes.not_run(
                     outcomes.Reason.REJECTED, admission.RETRY_AFTER_S
                 )
                 refusal.notice = self._dialect.said_by(answer)
                 return refusal
-            case adapters.BackendWord.OTHER_INCARNATION:
+            case adapters.BackendOutcome.OTHER_INCARNATION:
                 # The address has a new owner, which ran nothing. Until its
                 # own heartbeat comes, nothing is known of it.
                 self._incarnations.record_replaced(instance_id)
