--- a/packages/burdockfront-node/src/burdockfront_node/adapters.py
+++ b/packages/burdockfront-node/src/burdockfront_node/adapters.py
@@ -127,7 +127,7 @@
     def outcome_of(self, answer: connection.RawAnswer) -> BackendOutcome:
         """Returns what an answer means."""
 
-    def said_by(
+    def notice_of(
         self, answer: connection.RawAnswer
     ) -> self_reports.BackendNotice:
         """Returns what a backend server says of itself on an answer."""
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -148,7 +148,7 @@
                 refusal = outcomes.not_run(
                     outcomes.Reason.REJECTED, admission.RETRY_AFTER_S
                 )
-                refusal.notice = self._dialect.said_by(answer)
+                refusal.notice = self._dialect.notice_of(answer)
                 return refusal
             case adapters.BackendOutcome.OTHER_INCARNATION:
                 # The address has a new owner, which ran nothing. Until its
@@ -162,5 +162,5 @@
             answer.status,
             headers=self._sent_on(answer.headers),
             body=answer.body,
-            notice=self._dialect.said_by(answer),
+            notice=self._dialect.notice_of(answer),
         )
