--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -19,7 +19,7 @@
 from burdockfront_client import attempts as attempts_lib
 from burdockfront_client import dispatcher as dispatcher_lib
 from burdockfront_node import availability
-from burdockfront_node import daemon_parts
+from burdockfront_node import daemon_components
 from burdockfront_node import entry as entry_lib
 from burdockfront_node import guard as guard_lib
 from burdockfront_node import handover as handover_lib
@@ -258,7 +258,7 @@
             self._quarantine.refusal_of,
         )
 
-    def _new_listeners(self) -> list[daemon_parts.Listener]:
+    def _new_listeners(self) -> list[daemon_components.Listener]:
         """Returns the ports of this node."""
         tools = self._tools()
         entry = entry_lib.Entry(
@@ -276,7 +276,7 @@
         return http_port.Port(handler, self._settings.internal_address)
 
     def _internal_rest(self) -> internal_app.applications.Starlette:
-        parts = daemon_parts.Parts(
+        parts = daemon_components.Components(
             exchange=self._exchange,
             policies=self._policies,
             guard=self._guard,
--- a/packages/burdockfront-node/src/burdockfront_node/daemon_parts.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon_components.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class Components:
     """What operators' handlers may reach."""
 
     exchange: exchange.Exchange
--- a/packages/burdockfront-node/src/burdockfront_node/internal_handlers.py
+++ b/packages/burdockfront-node/src/burdockfront_node/internal_handlers.py
@@ -8,7 +8,7 @@
 from burdockfront import keyring as keyring_lib
 from burdockfront import tickets
 from burdockfront_node import backend as backend_lib
-from burdockfront_node import daemon_parts
+from burdockfront_node import daemon_components
 from burdockfront_node import internal_app
 from burdockfront_node import operators as operators_lib
 from burdockfront_node import ticket_status
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        parts: daemon_parts.Parts,
+        parts: daemon_components.Components,
         status: ticket_status.TicketStatus,
         keys: keyring_lib.KeyRing,
         operator_keys: keyring_lib.KeyRing,
--- a/packages/burdockfront-node/src/burdockfront_node/operators.py
+++ b/packages/burdockfront-node/src/burdockfront_node/operators.py
@@ -5,7 +5,7 @@
 
 from burdockfront import errors
 from burdockfront import timeline
-from burdockfront_node import daemon_parts
+from burdockfront_node import daemon_components
 
 _MOST_EVENTS = 5_000
 
@@ -13,7 +13,7 @@
 class Operators:
     """Handlers of the operators' endpoints of one node."""
 
-    def __init__(self, parts: "daemon_parts.Parts"):
+    def __init__(self, parts: "daemon_components.Components"):
         self._parts = parts
 
     async def status(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -79,7 +79,7 @@
         configuration = self._parts.exchange.configuration
         applied = configuration.applied().get(service)
         if applied is None:
-            document = daemon_parts.default_document(service)
+            document = daemon_components.default_document(service)
             return {"revision": 0, "document": document, "change_id": ""}
         return {
             "revision": applied.revision,
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -20,7 +20,7 @@
 from burdockfront_node import adapters
 from burdockfront_node import availability
 from burdockfront_node import daemon as daemon_lib
-from burdockfront_node import daemon_parts
+from burdockfront_node import daemon_components
 from burdockfront_node import handover as handover_lib
 from burdockfront_node import internal_app
 from burdockfront_node import lineage as lineage_lib
@@ -234,7 +234,7 @@
             routed,
         )
 
-    def _new_listeners(self) -> list[daemon_parts.Listener]:
+    def _new_listeners(self) -> list[daemon_components.Listener]:
         settings = self._settings
         entry = routed_entry.RoutedEntry(
             chain.build(self._tools(), chain.ROUTED_ORDER),
