--- a/packages/burdockfront-node/src/burdockfront_node/adapters.py
+++ b/packages/burdockfront-node/src/burdockfront_node/adapters.py
@@ -97,7 +97,7 @@
         key_header: Lower-case name of the header with a caller's key.
         reserved_with_accounts: Lower-case names that are reserved besides
             where callers need a key.
-        stays: Lower-case names of headers of answers that are not sent on
+        not_forwarded: Lower-case names of headers of answers that are not sent on
             from node to node: what the caller's node knows itself, and what
             is of use beside the backend server alone.
     """
@@ -105,7 +105,7 @@
     reserved: frozenset[str]
     key_header: str
     reserved_with_accounts: frozenset[str]
-    stays: frozenset[str]
+    not_forwarded: frozenset[str]
 
     def terms_of(self, headers: Headers) -> CallerTerms:
         """Reads what a caller says; InvalidInputError if it can't be read."""
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -134,9 +134,9 @@
     def _sent_on(
         self, headers: tuple[tuple[str, str], ...]
     ) -> tuple[tuple[str, str], ...]:
-        stays = self._dialect.stays
+        not_forwarded = self._dialect.not_forwarded
         kept = wire.end_to_end(headers)
-        return tuple([pair for pair in kept if pair[0] not in stays])
+        return tuple([pair for pair in kept if pair[0] not in not_forwarded])
 
     def _judge(
         self, answer: connection_lib.RawAnswer, instance_id: str
