--- a/packages/burdockfront-node/src/burdockfront_node/adapters.py
+++ b/packages/burdockfront-node/src/burdockfront_node/adapters.py
@@ -121,7 +121,7 @@
     def is_own(self, answer: connection.RawAnswer, request_id: str) -> bool:
         """Tells whether an answer is the one to a request."""
 
-    def is_whole(self, answer: connection.RawAnswer) -> bool:
+    def is_complete(self, answer: connection.RawAnswer) -> bool:
         """Tells whether an answer has all the marks of a real one."""
 
     def outcome_of(self, answer: connection.RawAnswer) -> BackendOutcome:
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -141,7 +141,7 @@
     def _judge(
         self, answer: connection_lib.RawAnswer, instance_id: str
     ) -> outcomes.Answer:
-        if not self._dialect.is_whole(answer):
+        if not self._dialect.is_complete(answer):
             return outcomes.unknown(outcomes.Reason.LOST_ANSWER)
         match self._dialect.outcome_of(answer):
             case adapters.BackendOutcome.REJECTED:
