--- a/packages/burdockfront-node/src/burdockfront_node/filters/account.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/account.py
@@ -26,7 +26,7 @@
         self._quotas = routed.quotas
 
     def check(self, entry: base.Entry) -> outcomes.Answer | None:
-        """Returns a refusal, or None; then `entry.spending` says the rest."""
+        """Returns a refusal, or None; then `entry.quota_state` says the rest."""
         entry.account = account = self._account_of(entry)
         assert entry.found is not None, "the route is found before"
         route = entry.found.route
@@ -40,11 +40,11 @@
             account, route.rank, entry.request.arrived_s
         )
         if refused_s is None:
-            entry.spending = base.Spending.TO_ASK
+            entry.quota_state = base.QuotaState.PENDING
             return None
         if refused_s:
             return outcomes.not_run(outcomes.Reason.OVER_QUOTA, refused_s)
-        entry.spending = base.Spending.SPENT
+        entry.quota_state = base.QuotaState.CONSUMED
         return None
 
     async def ask(self, entry: base.Entry) -> outcomes.Answer | None:
@@ -59,12 +59,15 @@
         refused_s = await self._quotas.ask(entry.account, rank)
         if refused_s:
             return outcomes.not_run(outcomes.Reason.OVER_QUOTA, refused_s)
-        entry.spending = base.Spending.SPENT
+        entry.quota_state = base.QuotaState.CONSUMED
         return None
 
     def give_back(self, entry: base.Entry) -> None:
         """Takes back what a request spent that ran nowhere."""
-        if entry.spending is base.Spending.SPENT and entry.account is not None:
+        if (
+            entry.quota_state is base.QuotaState.CONSUMED
+            and entry.account is not None
+        ):
             self._quotas.give_back(entry.account)
 
     def _account_of(self, entry: base.Entry) -> accounts_lib.Account | None:
--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -22,12 +22,12 @@
 FILTERS = registry.Registry("filter")
 
 
-class Spending(enum.Enum):
+class QuotaState(enum.Enum):
     """How a request stands with its account's quota."""
 
     NOTHING = "nothing"
-    TO_ASK = "to-ask"
-    SPENT = "spent"
+    PENDING = "to-ask"
+    CONSUMED = "spent"
 
 
 @dataclasses.dataclass(slots=True)
@@ -51,7 +51,7 @@
         host: Host that the caller named, where routes are found by it.
         found: Its route.
         account: The client account that its key admits.
-        spending: How it stands with the account's quota.
+        quota_state: How it stands with the account's quota.
     """
 
     request: messages.Request
@@ -70,7 +70,7 @@
     host: str = ""
     found: routes.RouteMatch | None = None
     account: accounts.Account | None = None
-    spending: Spending = Spending.NOTHING
+    quota_state: QuotaState = QuotaState.NOTHING
 
     @property
     def request_id(self) -> str:
--- a/packages/burdockfront-node/src/burdockfront_node/filters/route.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/route.py
@@ -54,7 +54,7 @@
         entry.routes_version = book.version
         if book.accounts.in_use:
             refusal = self._accounts.check(entry)
-            if refusal is None and entry.spending is base.Spending.TO_ASK:
+            if refusal is None and entry.quota_state is base.QuotaState.PENDING:
                 refusal = await self._accounts.ask(entry)
             if refusal is not None:
                 self._note_turned_away(entry, refusal)
