--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -54,7 +54,7 @@
 
     is_known = True
 
-    def spend(
+    def consume(
         self, account: accounts.Account, rank: int, now_s: float
     ) -> float | None:
         """Admits a request."""
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -96,7 +96,7 @@
         """The node that answered the last report."""
         return self._keeper_id
 
-    def spend(
+    def consume(
         self, account: accounts_lib.Account, rank: int, now_s: float
     ) -> float | None:
         """Spends one request at once; None if `ask` has to find out."""
--- a/packages/burdockfront-node/src/burdockfront_node/filters/account.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/account.py
@@ -36,7 +36,7 @@
             return outcomes.not_run(outcomes.Reason.UNKNOWN_KEY)
         if not account.rate_per_s:
             return None
-        refused_s = self._quotas.spend(
+        refused_s = self._quotas.consume(
             account, route.rank, entry.request.arrived_s
         )
         if refused_s is None:
--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -85,7 +85,7 @@
     def is_known(self) -> bool:
         """Whether quotas can be held yet."""
 
-    def spend(
+    def consume(
         self, account: accounts.Account, rank: int, now_s: float
     ) -> float | None:
         """Spends one request at once, if that can be decided here.
--- a/tests/unit/test_account_filter.py
+++ b/tests/unit/test_account_filter.py
@@ -21,7 +21,7 @@
 
     is_known = True
 
-    def spend(
+    def consume(
         self, account: accounts.Account, rank: int, now_s: float
     ) -> float | None:
         self.spent.append(rank)
