--- a/packages/burdockfront-node/src/burdockfront_node/filters/account.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/account.py
@@ -28,8 +28,8 @@
     def check(self, entry: base.Entry) -> outcomes.Answer | None:
         """Returns a refusal, or None; then `entry.quota_state` says the rest."""
         entry.account = account = self._account_of(entry)
-        assert entry.found is not None, "the route is found before"
-        route = entry.found.route
+        assert entry.route_match is not None, "the route is found before"
+        route = entry.route_match.route
         if route.public:
             return None
         if account is None:
@@ -49,13 +49,13 @@
 
     async def ask(self, entry: base.Entry) -> outcomes.Answer | None:
         """Spends by a question to another node; returns a refusal or None."""
-        assert entry.account is not None and entry.found is not None
+        assert entry.account is not None and entry.route_match is not None
         if not self._quotas.is_known:
             return outcomes.not_run(
                 outcomes.Reason.NO_CONFIGURATION, _STARTING_RETRY_S
             )
         # The route's own rank: the account's says nothing of its own requests.
-        rank = entry.found.route.rank
+        rank = entry.route_match.route.rank
         refused_s = await self._quotas.ask(entry.account, rank)
         if refused_s:
             return outcomes.not_run(outcomes.Reason.OVER_QUOTA, refused_s)
--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -49,7 +49,7 @@
         caller_waits_s: How long the caller said it will wait.
         routes_version: Version of the table that its route was found in.
         host: Host that the caller named, where routes are found by it.
-        found: Its route.
+        route_match: Its route.
         account: The client account that its key admits.
         quota_state: How it stands with the account's quota.
     """
@@ -68,7 +68,7 @@
     caller_waits_s: float | None = None
     routes_version: int = -1
     host: str = ""
-    found: routes.RouteMatch | None = None
+    route_match: routes.RouteMatch | None = None
     account: accounts.Account | None = None
     quota_state: QuotaState = QuotaState.NOTHING
 
--- a/packages/burdockfront-node/src/burdockfront_node/filters/route.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/route.py
@@ -48,8 +48,8 @@
             )
         request = entry.request
         entry.host = request.header("host") or ""
-        entry.found = book.find(entry.host, request.target)
-        if entry.found is None:
+        entry.route_match = book.find(entry.host, request.target)
+        if entry.route_match is None:
             return outcomes.not_run(outcomes.Reason.NO_ROUTE)
         entry.routes_version = book.version
         if book.accounts.in_use:
--- a/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
@@ -53,13 +53,15 @@
         within tenths of a second, so later is no better. Spread out, since
         many are refused in the same moment.
         """
-        assert entry.found is not None, "it was given terms"
+        assert entry.route_match is not None, "it was given terms"
         share = self._rng.uniform(*_RETURN_SHARES)
-        return min(_MOST_RETURN_S, share * entry.found.route.target_latency_s)
+        return min(
+            _MOST_RETURN_S, share * entry.route_match.route.target_latency_s
+        )
 
     def set(self, entry: base.Entry) -> None:
         """Gives a request the terms of its route and of its account."""
-        found = entry.found
+        found = entry.route_match
         assert found is not None, "the route is found before"
         route = found.route
         account = entry.account
