--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -291,7 +291,7 @@
             b"",
         )
         entry = base.Entry(
-            request, caller_request_id=request_id, caller_waits_s=left_s
+            request, caller_request_id=request_id, caller_timeout_s=left_s
         )
         try:
             async with asyncio.timeout(left_s):
--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -46,7 +46,7 @@
         fresh_ticket: A ticket that goes back with the answer.
         call: The call to dispatch, once it is known.
         caller_request_id: Id that the caller gave, where routes want one.
-        caller_waits_s: How long the caller said it will wait.
+        caller_timeout_s: How long the caller said it will wait.
         routes_version: Version of the table that its route was found in.
         host: Host that the caller named, where routes are found by it.
         route_match: Its route.
@@ -65,7 +65,7 @@
     fresh_ticket: str = ""
     call: calls.Call | None = None
     caller_request_id: str = ""
-    caller_waits_s: float | None = None
+    caller_timeout_s: float | None = None
     routes_version: int = -1
     host: str = ""
     route_match: routes.RouteMatch | None = None
--- a/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
@@ -66,8 +66,8 @@
         route = found.route
         account = entry.account
         remaining_s = route.timeout_s
-        if entry.caller_waits_s is not None:
-            remaining_s = min(remaining_s, entry.caller_waits_s)
+        if entry.caller_timeout_s is not None:
+            remaining_s = min(remaining_s, entry.caller_timeout_s)
         parent = self._parent_of(entry.caller_request_id)
         new_work = parent is None and self._is_new_work(route.name)
         remaining_s -= _ANSWER_MARGIN_S if new_work else _CALL_MARGIN_S
--- a/packages/burdockfront-node/src/burdockfront_node/routed_entry.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_entry.py
@@ -59,7 +59,7 @@
         entry = base.Entry(
             request,
             caller_request_id=request_id,
-            caller_waits_s=terms.remaining_s,
+            caller_timeout_s=terms.remaining_s,
         )
         return self._response(await self._answer(entry), request_id)
 
--- a/tests/route_chain.py
+++ b/tests/route_chain.py
@@ -74,5 +74,5 @@
     *headers: tuple[str, str], target: str = "/a/x", **changes: object
 ) -> base.Entry:
     request = messages.Request("GET", target, (*_HEADERS, *headers), b"")
-    fields = {"caller_request_id": "r-1", "caller_waits_s": 5.0}
+    fields = {"caller_request_id": "r-1", "caller_timeout_s": 5.0}
     return base.Entry(request, **{**fields, **changes})
--- a/tests/unit/test_route_filter.py
+++ b/tests/unit/test_route_filter.py
@@ -47,7 +47,7 @@
     remaining_s = 0.8
     for depth in range(4):
         link = _filter(builders.a_route(), new_work=depth == 0)
-        entry = _entry(caller_waits_s=remaining_s)
+        entry = _entry(caller_timeout_s=remaining_s)
         _run(link, entry)
         assert entry.call is not None
         remaining_s = _told_to_the_guard_s(entry.call)
@@ -72,7 +72,7 @@
 
 def test_operators_time_limit_bounds_what_the_caller_would_wait():
     link = _filter(builders.a_route(timeout_s=2.0))
-    entry = _entry(caller_waits_s=60.0)
+    entry = _entry(caller_timeout_s=60.0)
     _run(link, entry)
     assert 1.9 < entry.context.remaining_s < 2.0
 
