--- a/packages/burdockfront-node/src/burdockfront_node/filters/account.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/account.py
@@ -21,7 +21,7 @@
     """
 
     def __init__(self, routed: base.RoutedTools):
-        self._book = routed.book
+        self._resolver = routed.resolver
         self._key_header = routed.key_header
         self._quotas = routed.quotas
 
@@ -79,4 +79,6 @@
                     # Who sends two keys may know one of them only.
                     return None
                 found = value
-        return None if found is None else self._book.accounts.holder_of(found)
+        return (
+            None if found is None else self._resolver.accounts.holder_of(found)
+        )
--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -116,7 +116,7 @@
     """What filters of a node with routes use besides.
 
     Attributes:
-        book: The table in force.
+        resolver: The table in force.
         reserved: Lower-case names of headers that only nodes may set.
         origin_service: Service beside this node.
         is_new_work: Tells of a class whether its requests are callers'.
@@ -128,7 +128,7 @@
         quotas: What client accounts may spend.
     """
 
-    book: routes.RouteResolver
+    resolver: routes.RouteResolver
     reserved: frozenset[str]
     origin_service: str
     is_new_work: Callable[[str], bool]
--- a/packages/burdockfront-node/src/burdockfront_node/filters/route.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/route.py
@@ -31,7 +31,7 @@
 
     def __init__(self, tools: base.Tools):
         assert tools.routed is not None, "the chain of a node with routes"
-        self._book = tools.routed.book
+        self._resolver = tools.routed.resolver
         self._accounts = account_lib.AccountGate(tools.routed)
         self._terms = terms_lib.Terms(tools.routed)
         self._recorder = tools.recorder
@@ -40,19 +40,19 @@
         self, entry: base.Entry, following: base.Next
     ) -> outcomes.Answer:
         """Refuses a request without a route, an account, or a quota left."""
-        book = self._book
-        if book.table is None:
+        resolver = self._resolver
+        if resolver.table is None:
             # Not "no such route": what is missing is our own knowledge.
             return outcomes.not_run(
                 outcomes.Reason.NO_CONFIGURATION, _UNCONFIGURED_RETRY_S
             )
         request = entry.request
         entry.host = request.header("host") or ""
-        entry.route_match = book.find(entry.host, request.target)
+        entry.route_match = resolver.find(entry.host, request.target)
         if entry.route_match is None:
             return outcomes.not_run(outcomes.Reason.NO_ROUTE)
-        entry.routes_version = book.version
-        if book.accounts.in_use:
+        entry.routes_version = resolver.version
+        if resolver.accounts.in_use:
             refusal = self._accounts.check(entry)
             if refusal is None and entry.quota_state is base.QuotaState.PENDING:
                 refusal = await self._accounts.ask(entry)
--- a/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, routed: base.RoutedTools):
-        self._book = routed.book
+        self._resolver = routed.resolver
         self._reserved = routed.reserved
         self._reserved_with_accounts = (
             routed.reserved | routed.reserved_with_accounts
@@ -83,7 +83,7 @@
                 request_id=entry.caller_request_id,
                 attempt_id=entry.caller_request_id,
                 class_name=route.name,
-                rank=self._book.accounts.rank_of(account, route.rank),
+                rank=self._resolver.accounts.rank_of(account, route.rank),
                 ordinal=identify.ordinal_of(entry.caller_request_id),
                 depth=0 if new_work else 1,
                 remaining_s=remaining_s,
@@ -126,7 +126,7 @@
     ) -> tuple[tuple[str, str], ...]:
         """Returns what travels on, without what only nodes may say."""
         reserved = self._reserved
-        if self._book.accounts.in_use:
+        if self._resolver.accounts.in_use:
             reserved = self._reserved_with_accounts
         kept = wire.end_to_end(headers)
         return tuple([pair for pair in kept if pair[0] not in reserved])
