--- a/packages/burdockfront-node/src/burdockfront_node/filters/route.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/route.py
@@ -73,7 +73,7 @@
             self._accounts.give_back(entry)
         if answer.reason not in _PRESSURE:
             return answer
-        retry_after_s = self._terms.when_to_return_s(entry)
+        retry_after_s = self._terms.retry_after_s(entry)
         return dataclasses.replace(answer, retry_after_s=retry_after_s)
 
     def _note_turned_away(
--- a/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
@@ -46,7 +46,7 @@
         self._is_new_work = routed.is_new_work
         self._parent_of = routed.parent_of
 
-    def when_to_return_s(self, entry: base.Entry) -> float:
+    def retry_after_s(self, entry: base.Entry) -> float:
         """Returns when a caller that was refused for pressure should return.
 
         Soon enough that an answer is still of full value then; pressure moves
