--- a/packages/burdockfront-node/src/burdockfront_node/adapters.py
+++ b/packages/burdockfront-node/src/burdockfront_node/adapters.py
@@ -1,10 +1,11 @@
-"""What surrounds a node whose routes come from operators' one table.
-
-Callers, the backend server and the platform's store each speak a dialect with
-names of their own. An adapter translates it into the types below; nothing else
-in the product knows those names. An adapter is a module that registers a class
-with `@ADAPTERS.register(NAME)` under its own module name, and is named in the
-settings of a node.
+"""Adapters between a routed node and the protocols of its environment.
+
+A routed node selects requests by the operators' table of routes. Callers, the
+backend server and the platform's store each use their own names for headers,
+fields and keys. An adapter translates them to the types below; no other part of
+the product knows those names. An adapter is a module that registers a class
+with `@ADAPTERS.register(NAME)` under its own module name. The settings of a
+node select the adapter by that name.
 """
 
 import dataclasses
@@ -29,11 +30,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerTerms:
-    """What a caller says about one attempt.
+    """The terms that a caller sends with one attempt.
 
     Attributes:
-        request_id: Its id, echoed in the answer; empty if it gave none.
-        remaining_s: How long it will wait; None if it did not say.
+        request_id: Id of the attempt, echoed in the answer; empty if the caller
+            sent none.
+        remaining_s: How long the caller waits; None if it sent no limit.
     """
 
     request_id: str
@@ -42,13 +44,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BackendTerms:
-    """What a backend server is told about a request.
+    """The terms that a guard sends to the backend server with a request.
 
     Attributes:
-        remaining_s: When to stop working on it.
-        instance_id: The incarnation that it is meant for.
-        origin_service: Service beside which the request entered.
-        account: Client account whose request it is; empty for calls.
+        remaining_s: Time after which the server should stop working on it.
+        instance_id: The incarnation that the request is meant for.
+        origin_service: Service of the node at which the request entered.
+        account: Client account of the request; empty for nested calls.
     """
 
     remaining_s: float
@@ -58,7 +60,7 @@
 
 
 class BackendOutcome(enum.Enum):
-    """What an answer of a backend server means."""
+    """What the backend server did with a request, according to its answer."""
 
     RAN = "ran"
     REJECTED = "rejected"
@@ -67,12 +69,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Health:
-    """What a healthy backend server says of itself when it is asked.
+    """The answer of a healthy backend server to a health check.
 
     Attributes:
         instance_id: The incarnation that answered.
-        slots: Requests that it works on at once.
-        notice: What else it says of itself.
+        slots: Number of requests that it processes concurrently.
+        notice: The self report on the answer.
     """
 
     instance_id: str
@@ -82,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerAnswer:
-    """An answer as the caller gets it."""
+    """An answer in the form that is sent to the caller."""
 
     status: int
     headers: Headers
@@ -90,16 +92,18 @@
 
 
 class Dialect(Protocol):
-    """How callers and backend servers speak.
+    """Translates the headers of callers and of backend servers.
+
+    All header names below are in lower case.
 
     Attributes:
-        reserved: Lower-case names of headers that only nodes may set.
-        key_header: Lower-case name of the header with a caller's key.
-        reserved_with_accounts: Lower-case names that are reserved besides
-            where callers need a key.
-        not_forwarded: Lower-case names of headers of answers that are not sent on
-            from node to node: what the caller's node knows itself, and what
-            is of use beside the backend server alone.
+        reserved: Headers that only nodes may set.
+        key_header: Header with the API key of a caller.
+        reserved_with_accounts: Further reserved headers, in deployments where
+            callers need an API key.
+        not_forwarded: Answer headers that are not forwarded between nodes:
+            the caller's node sets them itself, or only the node beside the
+            backend server uses them.
     """
 
     reserved: frozenset[str]
@@ -108,7 +112,11 @@
     not_forwarded: frozenset[str]
 
     def terms_of(self, headers: Headers) -> CallerTerms:
-        """Reads what a caller says; InvalidInputError if it can't be read."""
+        """Parses the terms of a caller.
+
+        Raises:
+            InvalidInputError: The headers can't be parsed.
+        """
 
     def to_caller(
         self, answer: outcomes.Answer, request_id: str
@@ -116,63 +124,69 @@
         """Returns the answer in the callers' dialect."""
 
     def to_backend(self, terms: BackendTerms) -> Headers:
-        """Returns the headers that tell a backend server these terms."""
+        """Returns the headers that carry these terms to a backend server."""
 
     def is_own(self, answer: connection.RawAnswer, request_id: str) -> bool:
-        """Tells whether an answer is the one to a request."""
+        """Whether an answer belongs to the request with this id."""
 
     def is_complete(self, answer: connection.RawAnswer) -> bool:
-        """Tells whether an answer has all the marks of a real one."""
+        """Whether an answer carries all headers that the server must set."""
 
     def outcome_of(self, answer: connection.RawAnswer) -> BackendOutcome:
-        """Returns what an answer means."""
+        """Returns what the backend server did with the request."""
 
     def notice_of(
         self, answer: connection.RawAnswer
     ) -> self_reports.BackendNotice:
-        """Returns what a backend server says of itself on an answer."""
+        """Returns the self report that an answer carries."""
 
     def health_of(self, answer: connection.RawAnswer) -> Health | None:
-        """Reads an answer to a question for health; None if not healthy."""
+        """Parses the answer to a health check; None if not healthy."""
 
 
 class HeartbeatReceiver(Protocol):
-    """Takes what the backend server beside the node says of itself."""
+    """Receives the heartbeats of the backend server beside the node."""
 
     def on_heartbeat(self, beat: incarnations.Heartbeat) -> None:
-        """Takes a heartbeat."""
+        """Handles a heartbeat."""
 
     def leave(self, instance_id: str) -> None:
-        """Takes the end of an incarnation."""
+        """Handles the announcement that an incarnation leaves."""
 
 
 class Adapter(Protocol):
-    """Everything that a node needs to know of its surroundings."""
+    """Translates between a node and its callers, backend server and store.
+
+    Attributes:
+        dialect: Translates headers of callers and of the backend server.
+        store_wire: Protocol of the store.
+        routes_prefix: Prefix of the store keys that hold the route table.
+    """
 
     dialect: Dialect
     store_wire: store.Wire
     routes_prefix: str
 
     def read_routes(self, item: store.Item) -> routes.RouteTable | None:
-        """Reads operators' table; None for an item that is something else.
+        """Parses the operators' table; None if the item is not a table.
 
         Raises:
-            InvalidInputError: It can't be read.
+            InvalidInputError: The table is not valid.
         """
 
     def heartbeat_app(self, receiver: HeartbeatReceiver) -> Any:
-        """Returns the ASGI application that backend servers report to."""
+        """Returns the ASGI application that receives heartbeats."""
 
     def ready_app(self, is_ready: Callable[[], bool]) -> Any:
-        """Returns the ASGI application that is asked whether a node is in."""
+        """Returns the ASGI application that serves the readiness check."""
 
 
 def load(module_name: str) -> Adapter:
-    """Returns the adapter of a module.
+    """Imports a module and returns an instance of its adapter.
 
     Raises:
-        UnknownVariantError: The module registers no adapter of its name.
-        ModuleNotFoundError: There is no such module.
+        UnknownVariantError: The module registers no adapter under its name.
+        ModuleNotFoundError: The module does not exist.
     """
     importlib.import_module(module_name)
     adapter: Adapter = ADAPTERS.get(module_name)()
--- a/packages/burdockfront-node/src/burdockfront_node/daemon_components.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon_components.py
@@ -1,4 +1,4 @@
-"""The parts of a running node, for those who need several of them."""
+"""Shared types for the components of a running node."""
 
 import asyncio
 import dataclasses
@@ -17,22 +17,26 @@
 
 
 class Listener(Protocol):
-    """A port of a node, whatever serves it."""
+    """A listening port of a node."""
 
     @property
     def requests_open(self) -> int:
-        """Requests that are being served."""
+        """Number of requests that are being served."""
 
     async def open(self) -> None:
-        """Opens the port; SettingsError if that can't be done."""
+        """Opens the port.
+
+        Raises:
+            SettingsError: The port can't be opened.
+        """
 
     def close(self) -> None:
-        """Takes no new connections, and ends each kept one when idle."""
+        """Accepts no new connections and closes open ones once idle."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Components:
-    """What operators' handlers may reach."""
+    """Components that the handlers of the internal port use."""
 
     exchange: exchange.Exchange
     policies: policies.Policies
@@ -46,5 +50,5 @@
 
 
 def default_document(service: str) -> dict[str, Any]:
-    """Returns the document of a service without one of its own."""
+    """Returns the default policy document of a service."""
     return policy.full_document({"service": service})
