--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -1,4 +1,4 @@
-"""A running node: wires the parts, joins the others, stops as planned."""
+"""A running node: wires its components, joins the cluster, stops gracefully."""
 
 import asyncio
 import logging
@@ -48,8 +48,9 @@
 
 _LOG = logging.getLogger(__name__)
 _STOP_POLL_S = 0.05
-# Short beside the tenth of a second in which news of members is gathered; a
-# guard that leaves refuses by itself meanwhile.
+# Delay of a router update, which batches member changes. It is short beside the
+# 0.1 s for which the exchange collects these. Until the update, a guard that is
+# leaving refuses new work by itself.
 _ROUTER_DELAY_S = 0.02
 
 
@@ -69,7 +70,7 @@
         self._wall_s = clocks.SteadyWallClock()
         self._ready = asyncio.Event()
         self._stop = asyncio.Event()
-        self._router_due = False
+        self._router_update_due = False
         self._tasks: list[asyncio.Task[None]] = []
         self._log = event_log.EventLog()
         self._latencies = latencies_lib.Latencies()
@@ -100,7 +101,7 @@
         configuration = configuration_lib.Configuration(
             settings.policy_defaults
         )
-        me = members_lib.Member(
+        local_member = members_lib.Member(
             node_id=settings.node_id,
             boot_id=self._boot_id,
             incarnation=int(time.time() * 1000),
@@ -116,35 +117,35 @@
             remember_s=settings.gossip.remember_s,
         )
         return exchange_lib.Exchange(
-            membership_lib.Membership(me, timing, self._rng),
+            membership_lib.Membership(local_member, timing, self._rng),
             configuration,
             settings.gossip,
             peer_link.PeerLink(self._headers, self._source_ip),
             self._recorder,
             self._ready,
-            self._members_changed,
+            self._on_members_changed,
             self._rng,
-            self._routes_claim,
-            self._on_routes,
-            self._on_unanswered,
+            self._route_claim,
+            self._on_route_claim,
+            self._on_probe_failure,
         )
 
     def _on_event(self, event: timeline.Event) -> None:
         self._log.write_event(event)
         self._latencies.observe(event)
 
-    def _routes_claim(self) -> freshness.Claim:
-        """Returns what this node says of its table of routes."""
+    def _route_claim(self) -> freshness.Claim:
+        """Returns the version and freshness of this node's route table."""
         return freshness.Claim(-1)
 
-    def _on_routes(self, address: str, claim: freshness.Claim) -> None:
-        """Takes what a peer says of its table of routes."""
+    def _on_route_claim(self, address: str, claim: freshness.Claim) -> None:
+        """Handles a peer's claim about its route table."""
 
-    def _on_unanswered(self) -> None:
-        """Notes that a member believed alive did not answer a probe."""
+    def _on_probe_failure(self) -> None:
+        """Handles a probe that a member assumed alive did not answer."""
 
     def _build_sources(self) -> None:
-        """Builds what knows policies and other nodes."""
+        """Builds the sources of policies and of seed nodes."""
         settings = self._settings
         platform = (
             platform_lib.PlatformClient(settings.platform, self._rng)
@@ -227,29 +228,32 @@
         )
 
     def _retry_burst(self) -> float:
-        """Returns how many retries of a service may be saved up here."""
+        """Returns the burst size of this node's retry budget per service."""
         return allowance_lib.DEFAULT_BURST
 
     def _new_handover(self) -> handover_lib.Handover | None:
-        """Returns the way to the backend server; None: the product's own."""
+        """Returns the handover to the backend server; None for the default."""
         return None
 
     def _new_lineage(self) -> lineage_lib.Lineage | None:
-        """Returns what ties calls together where no context travels."""
+        """Returns the tracker that correlates calls where no context travels.
+
+        None if backend servers pass the context on.
+        """
         return None
 
     def _guard_rules(self) -> availability.GuardRules:
-        """Returns what differs between the places of a guard."""
+        """Returns the rules of the guard that depend on the environment."""
         return availability.GuardRules()
 
     def _new_backends(self) -> backends_lib.Backends:
-        """Returns who tells peers of the backend server."""
+        """Returns the controller that announces the backend server to peers."""
         return backends_lib.Backends(
             self._guard, self._exchange, self._recorder
         )
 
     def _tools(self) -> base.Tools:
-        """Returns what filters may use."""
+        """Returns the components that filters may use."""
         return base.Tools(
             self._dispatcher,
             self._attempts,
@@ -259,7 +263,7 @@
         )
 
     def _new_listeners(self) -> list[daemon_components.Listener]:
-        """Returns the ports of this node."""
+        """Returns the listening ports of this node."""
         tools = self._tools()
         entry = entry_lib.Entry(
             chain.build(tools), tools, self._status, self._ready
@@ -271,12 +275,15 @@
 
     def _internal_port(self) -> http_port.Port:
         handler = internal_app.CallHandler(
-            self._guard, self._keys, self._recorder, self._internal_rest()
+            self._guard,
+            self._keys,
+            self._recorder,
+            self._internal_application(),
         )
         return http_port.Port(handler, self._settings.internal_address)
 
-    def _internal_rest(self) -> internal_app.applications.Starlette:
-        parts = daemon_components.Components(
+    def _internal_application(self) -> internal_app.applications.Starlette:
+        components = daemon_components.Components(
             exchange=self._exchange,
             policies=self._policies,
             guard=self._guard,
@@ -288,35 +295,35 @@
             ready=self._ready,
         )
         handlers = internal_handlers.InternalHandlers(
-            parts, self._status, self._keys, self._operator_keys
+            components, self._status, self._keys, self._operator_keys
         )
         return handlers.application(
-            self._more_for_peers(), self._more_for_operators()
+            self._extra_peer_handlers(), self._extra_operator_handlers()
         )
 
-    def _more_for_peers(self) -> dict[str, internal_app.JsonHandler]:
-        """Returns further handlers of peers' questions, by path."""
+    def _extra_peer_handlers(self) -> dict[str, internal_app.JsonHandler]:
+        """Returns additional handlers of peer requests, by path."""
         return {}
 
-    def _more_for_operators(self) -> dict[str, internal_app.JsonHandler]:
-        """Returns further handlers of operators' questions, by path."""
+    def _extra_operator_handlers(self) -> dict[str, internal_app.JsonHandler]:
+        """Returns additional handlers of operator requests, by path."""
         return {}
 
-    def _members_changed(self) -> None:
-        """Has the router updated soon, once for many changes.
+    def _on_members_changed(self) -> None:
+        """Schedules a router update that covers many member changes.
 
-        When hundreds of nodes start together their news comes in messages of
-        many entries; with an update for each entry, a start took seconds of
-        processor time in every one of them.
+        When hundreds of nodes start together, member changes arrive in messages
+        of many entries. With one update per entry, each node used seconds of
+        processor time while starting.
         """
-        if self._router_due:
+        if self._router_update_due:
             return
-        self._router_due = True
+        self._router_update_due = True
         loop = asyncio.get_running_loop()
         loop.call_later(_ROUTER_DELAY_S, self._update_router_now)
 
     def _update_router_now(self) -> None:
-        self._router_due = False
+        self._router_update_due = False
         self._update_router()
 
     def _update_router(self) -> None:
@@ -333,7 +340,7 @@
     # ---- life -----------------------------------------------------------
 
     async def run(self) -> None:
-        """Runs until a signal asks for a planned stop.
+        """Runs until SIGTERM or SIGINT requests a graceful shutdown.
 
         Raises:
             SettingsError: A port can't be opened.
@@ -345,25 +352,25 @@
         for listener in self._listeners:
             await listener.open()
         self._recorder.record(time.time(), "node.started", boot=self._boot_id)
-        for work in self._works():
+        for work in self._background_tasks():
             running = supervision.keep_running(work, self._recorder)
             self._tasks.append(asyncio.create_task(running))
         await self._stop.wait()
-        await self._stop_as_planned()
+        await self._shut_down()
         for listener in self._listeners:
             listener.close()
         await self._close()
 
-    def _works(self) -> list[supervision.Work]:
-        """Returns what this node does all the time."""
+    def _background_tasks(self) -> list[supervision.Work]:
+        """Returns the background tasks of this node."""
         return [
             self._joining.join_forever,
             self._policies.watch_forever,
             self._seeds.write_forever,
-            *self._common_works(),
+            *self._common_tasks(),
         ]
 
-    def _common_works(self) -> list[supervision.Work]:
+    def _common_tasks(self) -> list[supervision.Work]:
         return [
             self._guard.tick_forever,
             self._exchange.probe_forever,
@@ -373,13 +380,13 @@
             self._housekeeping.keep_forever,
         ]
 
-    async def _stop_as_planned(self) -> None:
-        """Leaves without interrupting a request.
+    async def _shut_down(self) -> None:
+        """Shuts down without interrupting a request.
 
-        First everybody hears that this node takes no new work, while it
-        still serves what comes from those who have not heard; then it waits
-        until nothing runs; then it lingers a moment for callers who repeat a
-        ticket because its answer was lost.
+        The node first announces that it takes no new work. For the notice
+        period it still serves requests of peers that have not received the
+        announcement. It then waits until no request is in flight, and lingers
+        for callers that repeat a ticket because the answer was lost.
         """
         self._recorder.record(time.time(), "node.stopping")
         drain = self._settings.drain
@@ -399,7 +406,7 @@
         return sum(listener.requests_open for listener in self._listeners)
 
     def _reload_keys(self) -> None:
-        """Takes replaced keys from the settings file, at SIGHUP."""
+        """Reloads the keys from the settings file, on SIGHUP."""
         try:
             fresh = settings_lib.load(self._path)
             self._keys.replace(fresh.peer_keys)
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -1,9 +1,9 @@
-"""A node whose routes, store and backend server speak a place's own dialect.
+"""A node that selects requests by the operators' table of routes.
 
 The exchange between nodes, the dispatcher and the guard are those of every
-node. What differs is where knowledge comes from (operators' table and a
-directory of nodes in the store, heartbeats) and how callers and the backend
-server are spoken to; both are translated by the adapter.
+node. The sources of its configuration differ: the operators' table and a
+directory of nodes in the store, and heartbeats of the backend server. So do the
+protocols of callers and of the backend server. The adapter translates both.
 """
 
 import asyncio
@@ -48,31 +48,37 @@
 from burdockfront_node.internal import http_port
 from burdockfront_node.internal import supervision
 
-# Requests of a fast service end within milliseconds, but of the same service's
-# others one may take seconds; fewer than this is no sign of a stall.
+# Minimum time without an answer that counts as a stall of the backend server. A
+# service that answers most requests within milliseconds may take seconds for a
+# few of them, so a shorter time does not indicate a stall.
 _STALL_FLOOR_S = 3.0
-# Time to write the last answers and close connections before the kill.
+# Time reserved before the process is killed, for writing the last answers and
+# closing connections.
 STOP_MARGIN_S = 0.7
 _STOP_POLL_S = 0.05
-# After the guard refuses new work, requests of the backend server beside this
-# node still make their calls through it; most end within this time.
+# Time for which this node's port still accepts requests after the guard refuses
+# new work. Requests in flight at the backend server beside this node make their
+# nested calls through the port; most of them end within this time.
 LAST_REQUESTS_S = 0.5
-_USUAL_NODES = 16
+# Minimum number of nodes among which the retry slack is divided.
+_ASSUMED_NODES = 16
 
 
 class RoutedDaemon(daemon_lib.Daemon):
-    """One node of a place with routes.
+    """One routed node.
 
     Args:
-        settings: Validated settings, with the part `routed`.
+        settings: Validated settings, with the section `routed`.
         path: The settings file.
     """
 
     def __init__(self, settings: settings_lib.NodeSettings, path: pathlib.Path):
-        assert settings.routed is not None, "settings of a place with routes"
-        self._place = settings.routed
+        assert settings.routed is not None, (
+            "the settings have no section `routed`"
+        )
+        self._routed = settings.routed
         self._adapter = adapters.load(settings.routed.adapter)
-        self._book = routes_lib.RouteResolver(
+        self._resolver = routes_lib.RouteResolver(
             random.Random(secrets.randbits(64))
         )
         self._incarnations = incarnations_lib.IncarnationTracker()
@@ -82,24 +88,26 @@
 
     # ---- wiring ---------------------------------------------------------
 
-    def _routes_claim(self) -> freshness.Claim:
+    def _route_claim(self) -> freshness.Claim:
         return self._route_watch.freshness.claim()
 
-    def _on_routes(self, address: str, claim: freshness.Claim) -> None:
+    def _on_route_claim(self, address: str, claim: freshness.Claim) -> None:
         self._route_watch.heard_of(address, claim)
 
-    def _on_unanswered(self) -> None:
+    def _on_probe_failure(self) -> None:
         self._route_watch.doubt()
-        self._quarantine_keeper.doubt()
+        self._quarantine_store.doubt()
 
     def _build_sources(self) -> None:
         store = store_lib.StoreClient(
-            self._place.store_address, self._adapter.store_wire, self._rng
+            self._routed.store_address,
+            self._adapter.store_wire,
+            self._rng,
         )
         self._store_link = store.link
-        store.link.on_new_era = self._store_came_back_older
+        store.link.on_new_era = self._on_store_rolled_back
         self._policies = policies_lib.Policies(None, self._exchange)
-        self._quarantine_keeper = quarantine_keeper_lib.QuarantineKeeper(
+        self._quarantine_store = quarantine_keeper_lib.QuarantineKeeper(
             self._boot_id,
             store,
             self._exchange.crash_news.book,
@@ -107,74 +115,77 @@
         )
         self._quotas = quota_exchange_lib.QuotaExchange(
             self._exchange,
-            quota_limits.BookLimits(self._book, self._place.quota_slack),
+            quota_limits.BookLimits(self._resolver, self._routed.quota_slack),
             self._recorder,
             self._rng,
             self._ready,
         )
         self._accounts = account_status_lib.AccountStatus(
-            self._book, self._quotas
+            self._resolver, self._quotas
         )
-        self._exchange.crash_news.on_quarantined = self._quarantine_keeper.keep
+        self._exchange.crash_news.on_quarantined = self._quarantine_store.keep
         self._directory = directory_lib.Directory(
-            store, self._exchange, self._rng, self._quarantine_keeper.take
+            store, self._exchange, self._rng, self._quarantine_store.take
         )
         self._route_watch = route_watch_lib.RouteWatch(
             store,
             self._adapter.routes_prefix,
             self._adapter.read_routes,
-            self._book,
+            self._resolver,
             self._exchange.link,
             self._recorder,
-            self._store_returned,
+            self._on_store_recovered,
             other_nodes.OtherNodes(self._exchange),
             self._rng,
         )
-        self._joining_routes = route_joining_lib.RouteJoining(
+        self._route_joining = route_joining_lib.RouteJoining(
             self._directory,
             self._exchange,
             self._route_watch,
-            self._book,
+            self._resolver,
             self._recorder,
-            self._members_changed,
-            self._say_ready,
+            self._on_members_changed,
+            self._announce_ready,
         )
 
-    def _store_returned(self) -> None:
+    def _on_store_recovered(self) -> None:
         self._directory.store_returned()
-        self._quarantine_keeper.store_returned()
+        self._quarantine_store.store_returned()
 
-    def _store_came_back_older(self) -> None:
-        """Forgets revisions and leases, and has written anew what is gone.
+    def _on_store_rolled_back(self) -> None:
+        """Handles a store that has lost its most recent writes.
 
-        Few nodes keep anything in the store, so all may do so at once.
+        Discards known revisions and leases, and schedules lost entries to be
+        written again. Few nodes have entries in the store, so all of them may
+        write at once.
         """
         assert self._store_link is not None
         self._recorder.record(
             time.time(),
             "store.older",
             era=self._store_link.era,
-            routes=self._book.version,
+            routes=self._resolver.version,
         )
         self._route_watch.store_came_back_older()
-        self._store_returned()
+        self._on_store_recovered()
 
     def _retry_burst(self) -> float:
-        """Returns this node's part of the slack that all nodes share.
+        """Returns this node's share of the retry slack of all nodes.
 
-        Half of it, since windows slide over what was saved up before. Before
-        others are known a usual number of nodes is assumed.
+        Half of the slack is divided, because a sliding window also covers
+        retries that were saved up before it. At least `_ASSUMED_NODES` nodes
+        are assumed, as the other members are not known at the start.
         """
-        nodes = max(_USUAL_NODES, len(self._exchange.membership.usable()))
-        return self._place.retry_slack / 2 / nodes
+        nodes = max(_ASSUMED_NODES, len(self._exchange.membership.usable()))
+        return self._routed.retry_slack / 2 / nodes
 
     def _update_router(self) -> None:
         super()._update_router()
         self._dispatcher.set_retry_burst(self._retry_burst())
-        self._choose_watchers()
+        self._select_watchers()
 
-    def _choose_watchers(self) -> None:
-        """Finds out who is to watch the store, as far as this node knows."""
+    def _select_watchers(self) -> None:
+        """Selects the nodes that watch the store, from the known members."""
         chosen = watchers.watchers_of(self._exchange.membership)
         names = tuple(sorted(member.node_id for member in chosen))
         if names != self._watchers:
@@ -216,9 +227,9 @@
 
     def _tools(self) -> base.Tools:
         routed = base.RoutedTools(
-            self._book,
+            self._resolver,
             self._adapter.dialect.reserved,
-            self._place.service,
+            self._routed.service,
             self._lineage.is_new_work,
             self._lineage.parent_of,
             self._adapter.dialect.key_header,
@@ -239,24 +250,24 @@
         entry = routed_entry.RoutedEntry(
             chain.build(self._tools(), chain.ROUTED_ORDER),
             self._adapter.dialect,
-            self._book,
+            self._resolver,
             self._takes_requests,
         )
         heartbeats = heartbeats_lib.Heartbeats(
-            self._place.backend_address,
+            self._routed.backend_address,
             self._incarnations,
             self._backends,
             self._recorder,
-            self._place.service,
-            self._book,
+            self._routed.service,
+            self._resolver,
         )
         self._guard.on_server_leaving = heartbeats.said_leaving
-        self._first_look = first_look_lib.FirstLook(
-            self._place.service,
+        self._initial_health_check = first_look_lib.FirstLook(
+            self._routed.service,
             self._settings.data_center,
-            self._place.backend_address,
+            self._routed.backend_address,
             self._adapter.dialect,
-            self._book,
+            self._resolver,
             self._route_watch,
             self._incarnations,
             heartbeats,
@@ -267,20 +278,21 @@
         )
         return [
             http_port.Port(
-                entry, settings.caller_address, lambda: self._book.limits
+                entry, settings.caller_address, lambda: self._resolver.limits
             ),
             self._internal_port(),
             servers.Listener(
                 self._adapter.heartbeat_app(heartbeats),
-                self._place.heartbeat_address,
+                self._routed.heartbeat_address,
             ),
             servers.Listener(
-                self._adapter.ready_app(self._is_in), self._place.ready_address
+                self._adapter.ready_app(self._is_ready),
+                self._routed.ready_address,
             ),
-            servers.Listener(exposition.app, self._place.metrics_address),
+            servers.Listener(exposition.app, self._routed.metrics_address),
         ]
 
-    def _more_for_peers(self) -> dict[str, internal_app.JsonHandler]:
+    def _extra_peer_handlers(self) -> dict[str, internal_app.JsonHandler]:
         async def routes(message: dict[str, object]) -> dict[str, object]:
             return self._route_watch.on_peer(message)
 
@@ -292,19 +304,20 @@
             quota_exchange_lib.QUOTAS: quotas,
         }
 
-    def _more_for_operators(self) -> dict[str, internal_app.JsonHandler]:
+    def _extra_operator_handlers(self) -> dict[str, internal_app.JsonHandler]:
         return {"/operator/accounts": self._accounts.accounts}
 
-    def _is_in(self) -> bool:
-        """Whether callers may be sent here."""
+    def _is_ready(self) -> bool:
+        """Whether callers may send requests to this node."""
         return self._ready.is_set() and not self._stop.is_set()
 
     def _takes_requests(self) -> bool:
-        """Whether requests are still taken from callers.
+        """Whether requests of callers are still accepted.
 
-        A request taken shortly before the end of the process would be cut
-        off in the middle. It is refused instead, which promises that it did
-        not run; by then callers have been told that this node is out.
+        A request accepted shortly before the process exits would be
+        interrupted. It is refused instead, which guarantees that it did not
+        run. By then the readiness check has reported that this node is not
+        ready.
         """
         if self._refuses_after_s is None:
             return True
@@ -312,32 +325,32 @@
 
     # ---- life -----------------------------------------------------------
 
-    def _works(self) -> list[supervision.Work]:
+    def _background_tasks(self) -> list[supervision.Work]:
         return [
-            self._joining_routes.become_ready,
+            self._route_joining.become_ready,
             self._directory.register_forever,
             self._directory.look_forever,
             self._route_watch.watch_forever,
             self._route_watch.freshness.watch_forever,
             self._route_watch.checks.check_forever,
-            self._quarantine_keeper.write_forever,
-            self._quarantine_keeper.read_forever,
-            self._first_look.look,
+            self._quarantine_store.write_forever,
+            self._quarantine_store.read_forever,
+            self._initial_health_check.look,
             self._quotas.report_forever,
-            *self._common_works(),
+            *self._common_tasks(),
         ]
 
-    def _say_ready(self) -> None:
+    def _announce_ready(self) -> None:
         self._ready.set()
         self._backends.publish()
 
-    async def _stop_as_planned(self) -> None:
-        """Leaves without interrupting a request.
+    async def _shut_down(self) -> None:
+        """Shuts down without interrupting a request.
 
-        Callers learn from the answer to "ready" that this node is out, peers
-        from the exchange. Until both have, it serves as before; then it waits
-        for what runs. Ports stay open meanwhile: the calls that the requests
-        under way still make come in through them.
+        Callers learn from the readiness check that this node is leaving, peers
+        from the exchange. For the notice period the node serves as before; then
+        it waits for the requests in flight. Ports stay open meanwhile, because
+        the nested calls of these requests arrive through them.
         """
         began_s = time.monotonic()
         self._recorder.record(
@@ -349,7 +362,7 @@
         self._backends.publish()
         self._tasks.append(asyncio.create_task(self._directory.leave()))
         await asyncio.sleep(drain.notice_s)
-        until_s = began_s + self._place.stop_s - STOP_MARGIN_S
+        until_s = began_s + self._routed.stop_s - STOP_MARGIN_S
         while self._busy() and time.monotonic() < until_s:
             await asyncio.sleep(_STOP_POLL_S)
         for listener in self._listeners:
