--- a/packages/burdockfront-node/src/burdockfront_node/__init__.py
+++ b/packages/burdockfront-node/src/burdockfront_node/__init__.py
@@ -1,7 +1,7 @@
 """The daemon beside a backend server.
 
-Every node is at once an entry for callers, a router for its backend server's
-deeper calls, and the guard of its backend server. `daemon` wires the parts;
-`filters` is the chain that a caller's request passes; `guard` protects the
-backend server; `controllers` keep the state shared with other nodes.
+Every node serves callers, routes the nested calls of its backend server, and
+guards that server against overload. `daemon` wires the components; `filters`
+is the chain that handles a caller's request; `guard` protects the backend
+server; `controllers` maintain the state shared with other nodes.
 """
--- a/packages/burdockfront-node/src/burdockfront_node/entry.py
+++ b/packages/burdockfront-node/src/burdockfront_node/entry.py
@@ -1,4 +1,4 @@
-"""The callers' port: plain HTTP in, one whole answer out."""
+"""The callers' port: serves plain HTTP requests with complete answers."""
 
 import asyncio
 import logging
@@ -18,15 +18,15 @@
 _LOG = logging.getLogger(__name__)
 _TICKETS = "/tickets/"
 _HEALTH = "/health"
-_LARGEST_BODY_BYTES = 16_000_000
+_MAX_BODY_BYTES = 16_000_000
 
 
 class Entry:
     """Answers the requests of the callers' port.
 
     Args:
-        chain: First link of the chain of filters.
-        tools: What the node offers.
+        chain: First link of the filter chain.
+        tools: Components of the node that the filters use.
         status: Looks up tickets.
         ready: Whether this node may take requests.
     """
@@ -44,15 +44,15 @@
         self._ready = ready
 
     def body_limit_bytes(self, target: str) -> int:
-        """Returns the limit of the service named in the path."""
+        """Returns the body limit of the service named in the path."""
         service = target.partition("?")[0].split("/", 2)[1:2]
         known = self._tools.dispatcher.router.services()
         if service and service[0] in known:
             return self._tools.policy_of(service[0]).body_limit_bytes
-        return _LARGEST_BODY_BYTES
+        return _MAX_BODY_BYTES
 
     def may_overlap(self, request: messages.Request) -> bool:
-        """Whether running a request again does no harm."""
+        """Whether a request is idempotent, by its method."""
         return request.method in policy.IDEMPOTENT_METHODS
 
     async def serve(self, request: messages.Request) -> messages.Response:
@@ -61,7 +61,7 @@
         return _response(entry, await self._answer(entry))
 
     def refuse(self, error: errors.InvalidInputError) -> messages.Response:
-        """Returns the answer to a request that was not read whole."""
+        """Returns the answer to a request that could not be read completely."""
         nothing_read = base.Entry(messages.Request("", "", (), b""))
         return _response(nothing_read, problems.of_error(error))
 
@@ -82,9 +82,9 @@
         ) as error:
             return problems.of_error(error)
         except Exception:
-            # A fault of ours must not look like an answer of the service:
-            # without an outcome the caller could not tell what ran.
-            _LOG.exception("a request failed inside the node")
+            # An internal error must not look like an answer of the service:
+            # without an outcome the caller could not tell whether it ran.
+            _LOG.exception("a request failed with an internal error")
             return outcomes.unknown(outcomes.Reason.LOST_ANSWER, 1.0)
 
     def _health(self) -> outcomes.Answer:
--- a/packages/burdockfront-node/src/burdockfront_node/logs.py
+++ b/packages/burdockfront-node/src/burdockfront_node/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines on standard error."""
+"""Logging as JSON lines on standard error."""
 
 import logging
 import sys
@@ -7,7 +7,7 @@
 
 
 def set_up(level: str, node_id: str) -> None:
-    """Sends all logs of this process as JSON lines with the node's name."""
+    """Configures logging as JSON lines that carry the node's id."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         jsonlogger.JsonFormatter(
--- a/packages/burdockfront-node/src/burdockfront_node/main.py
+++ b/packages/burdockfront-node/src/burdockfront_node/main.py
@@ -24,9 +24,9 @@
 
 @app.command(name="run")
 def run_node(settings: pathlib.Path) -> None:
-    """Runs the node until SIGTERM, which is a planned stop.
+    """Runs the node until SIGTERM, which shuts it down gracefully.
 
-    SIGHUP takes replaced keys from the settings file.
+    SIGHUP reloads the keys from the settings file.
 
     Example: burdockfront-node run /etc/burdockfront/node.yaml
 
@@ -35,15 +35,15 @@
     """
     loaded = _load(settings)
     logs.set_up(loaded.log_level, loaded.node_id)
-    # The event loop's file operations could use io_uring, which our VMs
-    # forbid; this daemon opens no files while it runs, and this makes sure.
+    # libuv may use io_uring for file operations, which the VMs forbid. The
+    # daemon opens no files while it runs; this setting rules out any use.
     os.environ["UV_USE_IO_URING"] = "0"
     uvloop.run(_run(loaded, settings))
 
 
 @app.command(name="check-settings")
 def check_settings(settings: pathlib.Path) -> None:
-    """Checks a settings file and says what is wrong with it.
+    """Checks a settings file and prints what is wrong with it.
 
     Example: burdockfront-node check-settings node.yaml
 
@@ -56,8 +56,8 @@
 
 async def _run(loaded: settings_lib.NodeSettings, path: pathlib.Path) -> None:
     daemon = _new_daemon(loaded, path)
-    # What was imported and wired stays for the life of the process; without
-    # this each full collection walks all of it and holds up the calls.
+    # Imported modules and wired components live as long as the process. Without
+    # the freeze, each full collection traverses all of them and delays calls.
     gc.collect()
     gc.freeze()
     await daemon.run()
--- a/packages/burdockfront-node/src/burdockfront_node/routed_entry.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_entry.py
@@ -1,4 +1,4 @@
-"""The port of callers whose requests are selected by operators' routes."""
+"""The callers' port of a routed node."""
 
 import logging
 from collections.abc import Callable
@@ -11,40 +11,40 @@
 from burdockfront_node.internal import messages
 
 _LOG = logging.getLogger(__name__)
-# Callers come back to another node, or to the next process at this place.
+# Callers retry at another node, or at the process that replaces this one.
 _LEAVING_RETRY_S = 0.5
 
 
 class RoutedEntry:
-    """Answers callers, and the backend server's own calls.
+    """Answers callers, and the nested calls of the backend server.
 
     Args:
-        chain: First link of the chain of filters.
-        dialect: How callers speak.
-        book: The table in force, for its limits.
-        takes_requests: Tells whether new requests are still taken.
+        chain: First link of the filter chain.
+        dialect: Translates the headers of callers.
+        resolver: The active route table, which has the limits of requests.
+        takes_requests: Returns whether new requests are still accepted.
     """
 
     def __init__(
         self,
         chain: base.Next,
         dialect: adapters.Dialect,
-        book: routes.RouteResolver,
+        resolver: routes.RouteResolver,
         takes_requests: Callable[[], bool],
     ):
         self._chain = chain
         self._dialect = dialect
-        self._book = book
+        self._resolver = resolver
         self._takes_requests = takes_requests
 
     def body_limit_bytes(self, target: str) -> int:
-        """Returns the largest body that operators allow."""
-        return self._book.limits.body_bytes
+        """Returns the body limit that operators set."""
+        return self._resolver.limits.body_bytes
 
     def may_overlap(self, request: messages.Request) -> bool:
-        """Whether the route says that running it again does no harm."""
+        """Whether a request is idempotent, by its route."""
         host = request.header("host") or ""
-        route = self._book.route_of(host, request.target)
+        route = self._resolver.route_of(host, request.target)
         return route is None or route.repeat is routes.Repeat.IDEMPOTENT
 
     async def serve(self, request: messages.Request) -> messages.Response:
@@ -64,7 +64,7 @@
         return self._response(await self._answer(entry), request_id)
 
     def refuse(self, error: errors.InvalidInputError) -> messages.Response:
-        """Returns the answer to a request that can't be read."""
+        """Returns the answer to a request that can't be parsed."""
         return self._response(_refusal_of(error), "")
 
     async def _answer(self, entry: base.Entry) -> outcomes.Answer:
@@ -73,8 +73,8 @@
         except errors.InvalidInputError as error:
             return _refusal_of(error)
         except Exception:
-            # One request that meets a fault must not look like one that did
-            # not run: nobody knows how far it came.
+            # An internal error must not look like a request that did not run:
+            # the request may have reached the backend server.
             _LOG.exception(
                 "request failed", extra={"request": entry.caller_request_id}
             )
@@ -83,8 +83,8 @@
     def _response(
         self, answer: outcomes.Answer, request_id: str, closes: bool = False
     ) -> messages.Response:
-        told = self._dialect.to_caller(answer, request_id)
-        return messages.Response(told.status, told.headers, told.body, closes)
+        sent = self._dialect.to_caller(answer, request_id)
+        return messages.Response(sent.status, sent.headers, sent.body, closes)
 
 
 def _leaving() -> outcomes.Answer:
@@ -92,7 +92,7 @@
 
 
 def _refusal_of(error: errors.InvalidInputError) -> outcomes.Answer:
-    """Returns the refusal of input that is not valid."""
+    """Returns the refusal of invalid input."""
     reason = outcomes.Reason.BAD_REQUEST
     if isinstance(error, messages.BodyTooLargeError):
         reason = outcomes.Reason.TOO_LARGE
--- a/packages/burdockfront-node/src/burdockfront_node/settings.py
+++ b/packages/burdockfront-node/src/burdockfront_node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node: one validated, immutable object from a YAML file."""
+"""Validated, immutable settings of a node, read from a YAML file."""
 
 import ipaddress
 import pathlib
@@ -44,7 +44,7 @@
 
 
 class GossipSettings(_Model):
-    """Pace of the exchange with other nodes."""
+    """Intervals and byte budget of the gossip with other nodes."""
 
     period_s: float = pydantic.Field(default=1.0, ge=0.05, le=60)
     fanout: int = pydantic.Field(default=3, ge=1, le=16)
@@ -54,35 +54,40 @@
 
 
 class StatsdSettings(_Model):
-    """Where metrics go."""
+    """The StatsD server that metrics are sent to."""
 
     address: Address
     interval_s: float = pydantic.Field(default=5.0, ge=0.1, le=300)
 
 
 class DrainSettings(_Model):
-    """Pace of a planned stop."""
+    """Phases of a graceful shutdown.
+
+    Attributes:
+        notice_s: Time between the announcement and refusing new work.
+        linger_s: Time to stay reachable after the last request has ended.
+    """
 
     notice_s: float = pydantic.Field(default=1.5, ge=0, le=60)
     linger_s: float = pydantic.Field(default=1.0, ge=0, le=600)
 
 
 class RoutedSettings(_Model):
-    """A place where operators' one table of routes says what a request is.
+    """Settings of a node that uses the operators' table of routes.
 
     Attributes:
-        adapter: Module that translates the place's names.
+        adapter: Module that translates the names of the environment.
         service: Service of the backend server beside this node.
-        backend_address: Where that backend server takes requests.
-        heartbeat_address: Where it reports to this node.
-        ready_address: Where this node is asked whether it is in.
-        metrics_address: Where metrics are served as text.
-        store_address: The platform's store.
-        drain_s: A leaving backend server gets no new work after this.
-        stop_s: A process is killed this long after it was asked to stop.
-        retry_slack: Further retries of all nodes together, in each window.
-        quota_slack: Requests of a client account beyond its quota that are
-            borne, of all nodes together, in each window.
+        backend_address: Address of that backend server.
+        heartbeat_address: Where this node receives heartbeats of the server.
+        ready_address: Where this node serves its readiness check.
+        metrics_address: Where this node serves metrics as text.
+        store_address: Address of the platform's store.
+        drain_s: A leaving backend server gets no new work after this time.
+        stop_s: Time between the request to stop and the kill of the process.
+        retry_slack: Additional retries per window, of all nodes together.
+        quota_slack: Requests beyond a client account's quota that are
+            tolerated per window, of all nodes together.
     """
 
     adapter: str
@@ -128,7 +133,11 @@
 
     @pydantic.model_validator(mode="after")
     def _check_keys(self) -> "NodeSettings":
-        """Keys may be missing only where callers can't reach the nodes."""
+        """Requires keys unless the node is routed.
+
+        Without keys, the internal port of a node accepts any sender, so they
+        may be missing only where callers can't reach the nodes.
+        """
         if self.routed is None and not (self.peer_keys and self.operator_keys):
             raise ValueError(
                 "expected at least one of peer_keys and of operator_keys; "
@@ -139,7 +148,7 @@
     @pydantic.field_validator("policy_defaults")
     @classmethod
     def _check_defaults(cls, value: dict[str, Any]) -> dict[str, Any]:
-        """Policy defaults must make a valid policy."""
+        """Requires defaults that make up a valid policy."""
         try:
             policy.parse({**value, "service": "any"})
         except errors.PolicyError as error:
@@ -155,13 +164,13 @@
     """Validates settings.
 
     Args:
-        document: As read from YAML.
-        source: Where it came from, for the message.
-        text: The YAML, for the lines of what is wrong.
+        document: The settings as loaded from YAML.
+        source: Name of the source, for error messages.
+        text: The YAML text, for line numbers in error messages.
 
     Raises:
-        SettingsError: With the path of each wrong field, what was expected
-            and the remedy.
+        SettingsError: The settings are not valid. The message has the path of
+            each invalid field, the expected value and the remedy.
     """
     if not isinstance(document, dict):
         raise errors.SettingsError(
@@ -180,7 +189,7 @@
     """Reads and validates a settings file.
 
     Raises:
-        SettingsError: It can't be read, is not YAML, or is not valid.
+        SettingsError: The file can't be read, is not YAML, or is not valid.
     """
     try:
         text = path.read_text(encoding="utf-8")
--- a/packages/burdockfront-node/src/burdockfront_node/yaml_lines.py
+++ b/packages/burdockfront-node/src/burdockfront_node/yaml_lines.py
@@ -1,4 +1,4 @@
-"""Tells in which line of a YAML text a value stands."""
+"""Finds the line numbers of values in a YAML text."""
 
 import yaml
 
@@ -6,7 +6,7 @@
 
 
 class YamlLines:
-    """The lines of one text.
+    """Line numbers of the values of one YAML text.
 
     Args:
         text: Valid YAML.
@@ -16,12 +16,13 @@
         self._root = yaml.compose(text, Loader=yaml.SafeLoader)
 
     def line_of(self, path: Path) -> int:
-        """Returns the line of a value, from 1.
+        """Returns the line of a value, counted from 1.
 
-        For a value that is absent it is the line of what should hold it.
+        For an absent value, returns the line of the innermost enclosing value
+        that is present.
 
         Args:
-            path: Keys and positions from the outside in.
+            path: Keys and positions, outermost first.
         """
         node = self._root
         line = node.start_mark.line if node is not None else 0
@@ -36,7 +37,10 @@
 def _inner(
     node: yaml.Node | None, part: int | str
 ) -> tuple[int, yaml.Node] | None:
-    """Returns the line of a key or position, counted from 0, and its value."""
+    """Returns the line of a key or position, counted from 0, and its value.
+
+    None if the node has no such key or position.
+    """
     if isinstance(node, yaml.MappingNode):
         for key, value in node.value:
             if key.value == str(part):
