--- a/packages/burdockfront-node/src/burdockfront_node/filters/__init__.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/__init__.py
@@ -1,6 +1,6 @@
-"""The chain of filters that a caller's request passes.
+"""The filter chain that handles a caller's request.
 
-Each filter does one job and either answers or asks the next one. A new filter
-is a class with `@base.FILTERS.register("name")` in a module of its own, its
-module's import in `chain`, and its place in `chain.ORDER`.
+Each filter does one job and either answers or calls the next filter. To add a
+filter, write a class with `@base.FILTERS.register("name")` in its own module,
+import the module in `chain`, and add the name to `chain.ORDER`.
 """
--- a/packages/burdockfront-node/src/burdockfront_node/filters/account.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/account.py
@@ -1,23 +1,24 @@
-"""Admits a request by the key that it bears, within its account's quota.
+"""Admits requests by API key, within the quota of their client account.
 
-A key is a secret: it is looked up by its digest, and goes no further than this.
-Why a key admits nobody is not said: "removed" or "unknown" would tell a guesser
-which one had been worth something.
+A key is a secret: it is looked up by its digest, and is neither recorded nor
+forwarded. A refusal doesn't distinguish removed keys from unknown ones, as that
+would tell an attacker which guessed key had once been valid.
 """
 
 from burdockfront import accounts as accounts_lib
 from burdockfront import outcomes
 from burdockfront_node.filters import base
 
-# Until the other nodes are known. Starting takes about as long.
+# Retry-after time until the other nodes are known: about the time that a node
+# takes to start.
 _STARTING_RETRY_S = 0.5
 
 
 class AccountGate:
-    """Sets the client account, and spends of its quota.
+    """Sets the client account of a request and consumes its quota.
 
     Args:
-        routed: What filters of a node with routes use.
+        routed: Components for the filters of a routed node.
     """
 
     def __init__(self, routed: base.RoutedTools):
@@ -26,9 +27,14 @@
         self._quotas = routed.quotas
 
     def check(self, entry: base.Entry) -> outcomes.Answer | None:
-        """Returns a refusal, or None; then `entry.quota_state` says the rest."""
+        """Checks key and quota locally, and sets `entry.quota_state`.
+
+        Returns:
+            A refusal; None if the request is admitted or the quota state is
+            pending.
+        """
         entry.account = account = self._account_of(entry)
-        assert entry.route_match is not None, "the route is found before"
+        assert entry.route_match is not None, "the route is found first"
         route = entry.route_match.route
         if route.public:
             return None
@@ -48,13 +54,18 @@
         return None
 
     async def ask(self, entry: base.Entry) -> outcomes.Answer | None:
-        """Spends by a question to another node; returns a refusal or None."""
+        """Consumes quota by a request to another node.
+
+        Returns:
+            A refusal; None if the request is admitted.
+        """
         assert entry.account is not None and entry.route_match is not None
         if not self._quotas.is_known:
             return outcomes.not_run(
                 outcomes.Reason.NO_CONFIGURATION, _STARTING_RETRY_S
             )
-        # The route's own rank: the account's says nothing of its own requests.
+        # The rank of the route alone: the rank of the account is the same for
+        # all of its own requests.
         rank = entry.route_match.route.rank
         refused_s = await self._quotas.ask(entry.account, rank)
         if refused_s:
@@ -63,7 +74,7 @@
         return None
 
     def give_back(self, entry: base.Entry) -> None:
-        """Takes back what a request spent that ran nowhere."""
+        """Returns the quota of a request that did not run."""
         if (
             entry.quota_state is base.QuotaState.CONSUMED
             and entry.account is not None
@@ -71,14 +82,12 @@
             self._quotas.give_back(entry.account)
 
     def _account_of(self, entry: base.Entry) -> accounts_lib.Account | None:
-        """Returns whom the one key of a request admits."""
-        found = None
+        """Returns the account of the only key of a request, if it has one."""
+        key = None
         for name, value in entry.request.headers:
             if name == self._key_header:
-                if found is not None:
-                    # Who sends two keys may know one of them only.
+                if key is not None:
+                    # A caller that sends two keys may know only one of them.
                     return None
-                found = value
-        return (
-            None if found is None else self._resolver.accounts.holder_of(found)
-        )
+                key = value
+        return None if key is None else self._resolver.accounts.holder_of(key)
--- a/packages/burdockfront-node/src/burdockfront_node/filters/base.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/base.py
@@ -1,4 +1,4 @@
-"""What filters share: the request on its way, and the registry."""
+"""Shared types of the filters, and their registry."""
 
 import dataclasses
 import enum
@@ -23,7 +23,13 @@
 
 
 class QuotaState(enum.Enum):
-    """How a request stands with its account's quota."""
+    """Quota state of a request.
+
+    Attributes:
+        NOTHING: The request has used no quota.
+        PENDING: Another node has to decide whether the request is admitted.
+        CONSUMED: The request is admitted and has used quota.
+    """
 
     NOTHING = "nothing"
     PENDING = "to-ask"
@@ -32,26 +38,26 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """A request on its way through the chain.
+    """A request and what the filters of the chain have set for it.
 
     Attributes:
-        request: As it arrived.
-        service: Wanted service.
-        target: Path and query below the service.
-        policy: Policy in force of that service.
+        request: The request as received.
+        service: Requested service.
+        target: Path and query that the service receives.
+        policy: Active policy of the service.
         parent: The attempt whose backend server makes this call, if any.
         context: Context of the call.
-        deadline_s: Monotonic time at which the answer is worthless.
+        deadline_s: Monotonic time after which the answer is useless.
         ticket: The caller's ticket.
-        fresh_ticket: A ticket that goes back with the answer.
+        fresh_ticket: A new ticket, returned with the answer.
         call: The call to dispatch, once it is known.
-        caller_request_id: Id that the caller gave, where routes want one.
-        caller_timeout_s: How long the caller said it will wait.
-        routes_version: Version of the table that its route was found in.
-        host: Host that the caller named, where routes are found by it.
-        route_match: Its route.
-        account: The client account that its key admits.
-        quota_state: How it stands with the account's quota.
+        caller_request_id: Id that the caller sent; routed nodes only.
+        caller_timeout_s: How long the caller waits; None if it sent no limit.
+        routes_version: Version of the route table that `route_match` is from.
+        host: Host header of the request; routed nodes only.
+        route_match: Route of the request; routed nodes only.
+        account: Client account of the request's API key.
+        quota_state: Whether the request has used quota of the account.
     """
 
     request: messages.Request
@@ -79,53 +85,56 @@
 
 
 class Quotas(Protocol):
-    """What client accounts may spend, as an entry sees it."""
+    """Quotas of client accounts, as filters use them."""
 
     @property
     def is_known(self) -> bool:
-        """Whether quotas can be held yet."""
+        """Whether the node knows enough to enforce quotas."""
 
     def consume(
         self, account: accounts.Account, rank: int, now_s: float
     ) -> float | None:
-        """Spends one request at once, if that can be decided here.
+        """Consumes the quota of one request, if this node can decide alone.
 
         Args:
-            account: Whose it is.
-            rank: How much it matters among the account's own; 0 most.
-            now_s: Monotonic time at which it came.
+            account: Client account of the request.
+            rank: Rank among the requests of the account; 0 is the highest.
+            now_s: Monotonic time at which the request arrived.
 
         Returns:
-            0 if it is admitted; when to come back if it is not; None if
-            `ask` has to find out.
+            0 if the request is admitted; seconds until a retry if it is
+            refused; None if `ask` has to decide.
         """
 
     async def ask(self, account: accounts.Account, rank: int) -> float:
-        """Spends one request, after a question to another node.
+        """Consumes the quota of one request, granted by another node.
 
         Returns:
-            0 if it is admitted, or when to come back.
+            0 if the request is admitted; otherwise seconds until a retry.
         """
 
     def give_back(self, account: accounts.Account) -> None:
-        """Takes back a request that was admitted, and ran nowhere."""
+        """Returns the quota of a request that was admitted but did not run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutedTools:
-    """What filters of a node with routes use besides.
+    """Additional components for the filters of a routed node.
+
+    Header names are in lower case.
 
     Attributes:
-        resolver: The table in force.
-        reserved: Lower-case names of headers that only nodes may set.
-        origin_service: Service beside this node.
-        is_new_work: Tells of a class whether its requests are callers'.
-        parent_of: Returns the request at the backend server that a call is
-            made for, if its id tells.
-        key_header: Lower-case name of the header with a caller's key.
-        reserved_with_accounts: Lower-case names that only nodes may set
-            besides, where callers need a key.
-        quotas: What client accounts may spend.
+        resolver: The active route table.
+        reserved: Headers that only nodes may set.
+        origin_service: Service of the backend server beside this node.
+        is_new_work: Returns whether requests of a class come from callers, and
+            not from backend servers.
+        parent_of: Returns the request in flight at the backend server that a
+            call with this id is made for; None if that can't be determined.
+        key_header: Header with the API key of a caller.
+        reserved_with_accounts: Further reserved headers, where callers need an
+            API key.
+        quotas: Quotas of client accounts.
     """
 
     resolver: routes.RouteResolver
@@ -140,15 +149,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tools:
-    """What filters may use of the node.
+    """Components of the node for its filters.
 
     Attributes:
         dispatcher: Sends calls to guards.
         attempts: Open attempts at the backend server.
-        policy_of: Returns the policy in force of a service.
-        recorder: Where events go.
-        refusal_of: Returns the refusal of a call that crashes servers.
-        routed: What filters of a node with routes use besides.
+        policy_of: Returns the active policy of a service.
+        recorder: Receives events.
+        refusal_of: Returns the refusal of a call that is quarantined because
+            it crashed backend servers; None for any other call.
+        routed: Additional components of a routed node.
     """
 
     dispatcher: dispatcher.Dispatcher
@@ -163,7 +173,7 @@
 
 
 class Filter(Protocol):
-    """One link of the chain."""
+    """One filter of the chain."""
 
     async def __call__(self, entry: Entry, following: Next) -> outcomes.Answer:
-        """Answers, or asks the following link."""
+        """Answers the request, or calls the following filter."""
--- a/packages/burdockfront-node/src/burdockfront_node/filters/chain.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/chain.py
@@ -1,4 +1,4 @@
-"""Builds the chain of filters in its order."""
+"""Builds the filter chain."""
 
 import functools
 
@@ -22,12 +22,12 @@
     "quarantine",
     "dispatch",
 )
-# Where operators' table of routes says what a request is.
+# Order of a routed node.
 ROUTED_ORDER = ("route", "trace", "quarantine", "dispatch")
 
 
 def build(tools: base.Tools, order: tuple[str, ...] = ORDER) -> base.Next:
-    """Returns the first link; each link knows the one after it."""
+    """Returns the first filter, bound to the filters that follow it."""
     following: base.Next = _nothing_follows
     for name in reversed(order):
         link: base.Filter = base.FILTERS.get(name)(tools)
--- a/packages/burdockfront-node/src/burdockfront_node/filters/dispatch.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/dispatch.py
@@ -1,4 +1,4 @@
-"""The end of the chain: the call goes to a guard."""
+"""Last filter of the chain: dispatches the call to a guard."""
 
 from burdockfront import outcomes
 from burdockfront_node.filters import base
@@ -6,7 +6,7 @@
 
 @base.FILTERS.register("dispatch")
 class Dispatch:
-    """Brings the call to its final answer."""
+    """Returns the dispatcher's final answer to the call."""
 
     def __init__(self, tools: base.Tools):
         self._dispatcher = tools.dispatcher
@@ -14,6 +14,6 @@
     async def __call__(
         self, entry: base.Entry, following: base.Next
     ) -> outcomes.Answer:
-        """Asks nobody further."""
+        """Answers the request; ignores `following`."""
         assert entry.call is not None
         return await self._dispatcher.call(entry.call)
--- a/packages/burdockfront-node/src/burdockfront_node/filters/identify.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/identify.py
@@ -1,7 +1,8 @@
-"""Gives a request its context: identity, priority, deadline, allowance.
+"""Sets the context of a request: id, priority, deadline and retry allowance.
 
-The entry mints the context of a caller's request. A call of a backend server
-carries the signed context of its attempt, and inherits from it.
+For a caller's request, the entry node creates the context. A nested call of a
+backend server carries the signed context of the attempt that it is made for,
+and inherits from it.
 """
 
 import hashlib
@@ -31,24 +32,24 @@
     async def __call__(
         self, entry: base.Entry, following: base.Next
     ) -> outcomes.Answer:
-        """Refuses forged contexts and malformed deadlines."""
+        """Refuses requests with a forged context or an invalid deadline."""
         signed = entry.request.header(context_lib.HEADER.lower())
         if signed is None:
-            self._mint(entry)
+            self._create_context(entry)
         else:
             keys = self._tools.dispatcher.sender.keys
-            self._inherit(entry, context_lib.decode(signed, keys))
+            self._inherit_context(entry, context_lib.decode(signed, keys))
         return await following(entry)
 
-    def _mint(self, entry: base.Entry) -> None:
+    def _create_context(self, entry: base.Entry) -> None:
         policy = entry.policy
         assert policy is not None
         request = entry.request
         remaining_s = min(policy.deadline_s, _deadline_of(request))
         request_class = policy.class_of(request.method, entry.target)
         request_id = self._request_id(entry)
-        # A repeat is itself a retry, made by the caller: if it minted an
-        # allowance too, a storm of repeats would multiply by it.
+        # A repeat is itself a retry by the caller. With an allowance of its
+        # own, each repeat of a retry storm would cause further retries.
         repeated = request.header(_REPEAT) not in (None, "0")
         units = 0 if repeated else policy.retry.allowance
         entry.context = context_lib.RequestContext(
@@ -73,7 +74,7 @@
             pool=allowance.AllowancePool(units),
         )
 
-    def _inherit(
+    def _inherit_context(
         self, entry: base.Entry, given: context_lib.RequestContext
     ) -> None:
         policy = entry.policy
@@ -120,9 +121,10 @@
 
 
 def ordinal_of(request_id: str) -> int:
-    """Returns the ordinal: the same for repeats of the same request.
+    """Returns the ordinal, a hash that is equal for repeats of a request.
 
-    With a new draw per repeat, repeating would pay off under pressure.
+    With a random ordinal per repeat, callers would gain from repeating requests
+    under overload.
     """
     digest = hashlib.blake2b(request_id.encode(), digest_size=1).digest()
     return digest[0]
--- a/packages/burdockfront-node/src/burdockfront_node/filters/locate.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/locate.py
@@ -1,7 +1,7 @@
-"""Finds the wanted service: in the path (`/SERVICE/...`) or the Host.
+"""Finds the requested service in the path (`/SERVICE/...`) or the Host header.
 
-A Host of the form `SERVICE.svc` names the service, and the whole path is the
-target then.
+A Host of the form `SERVICE.svc` names the service; the target is then the whole
+path.
 """
 
 import re
--- a/packages/burdockfront-node/src/burdockfront_node/filters/quarantine.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/quarantine.py
@@ -1,7 +1,7 @@
-"""Refuses requests that crashed backend servers where they enter.
+"""Refuses quarantined requests, which crashed backend servers, at the entry.
 
-The guard refuses them as well; here they cost no way to it, and callers hear at
-once when to come back.
+The guard refuses them as well. Refusing them here saves the transfer to the
+guard, and callers learn at once when to retry.
 """
 
 from burdockfront import outcomes
@@ -10,7 +10,7 @@
 
 @base.FILTERS.register("quarantine")
 class QuarantineFilter:
-    """Asks whether a request may run now."""
+    """Refuses requests that are in quarantine."""
 
     def __init__(self, tools: base.Tools):
         self._refusal_of = tools.refusal_of
@@ -18,7 +18,10 @@
     async def __call__(
         self, entry: base.Entry, following: base.Next
     ) -> outcomes.Answer:
-        """Refuses suspects; one with a ticket may have run, so it goes on."""
+        """Refuses quarantined requests, except those with a ticket.
+
+        A request with a ticket may have run before, so it is passed on.
+        """
         assert entry.call is not None
         refusal = None
         if entry.ticket is None:
--- a/packages/burdockfront-node/src/burdockfront_node/filters/route.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/route.py
@@ -1,8 +1,8 @@
-"""Finds the route of a request, admits its account, and gives it its terms.
+"""Finds the route of a request, admits its client account, and sets its terms.
 
-For nodes whose routes come from operators' one table. One filter, since each
-link of the chain costs each request several function calls; the parts are
-`account` and `terms`.
+Used by routed nodes. This is a single filter, because each filter of the chain
+costs each request several function calls; its parts are in `account` and
+`terms`.
 """
 
 import dataclasses
@@ -13,9 +13,10 @@
 from burdockfront_node.filters import base
 from burdockfront_node.filters import terms as terms_lib
 
-# Until the first table is here. Starting takes about as long.
+# Retry-after time until the first route table is loaded: about the time that a
+# node takes to start.
 _UNCONFIGURED_RETRY_S = 0.5
-_PRESSURE = frozenset(
+_OVERLOAD_REASONS = frozenset(
     [
         outcomes.Reason.OVERLOAD,
         outcomes.Reason.LIMITED,
@@ -27,10 +28,12 @@
 
 @base.FILTERS.register("route")
 class RouteFilter:
-    """Sets route, account, context, deadline and call."""
+    """Sets route, client account, context, deadline and call."""
 
     def __init__(self, tools: base.Tools):
-        assert tools.routed is not None, "the chain of a node with routes"
+        assert tools.routed is not None, (
+            "the filter needs the components of a routed node"
+        )
         self._resolver = tools.routed.resolver
         self._accounts = account_lib.AccountGate(tools.routed)
         self._terms = terms_lib.Terms(tools.routed)
@@ -39,10 +42,10 @@
     async def __call__(
         self, entry: base.Entry, following: base.Next
     ) -> outcomes.Answer:
-        """Refuses a request without a route, an account, or a quota left."""
+        """Refuses requests without a route, account or remaining quota."""
         resolver = self._resolver
         if resolver.table is None:
-            # Not "no such route": what is missing is our own knowledge.
+            # Not NO_ROUTE, which is final: this node has no route table yet.
             return outcomes.not_run(
                 outcomes.Reason.NO_CONFIGURATION, _UNCONFIGURED_RETRY_S
             )
@@ -57,29 +60,32 @@
             if refusal is None and entry.quota_state is base.QuotaState.PENDING:
                 refusal = await self._accounts.ask(entry)
             if refusal is not None:
-                self._note_turned_away(entry, refusal)
+                self._record_rejection(entry, refusal)
                 return refusal
         self._terms.set(entry)
         answer = await following(entry)
         if answer.outcome is not outcomes.Outcome.DONE:
-            answer = self._of_refusal(entry, answer)
+            answer = self._finish_unserved(entry, answer)
         return answer
 
-    def _of_refusal(
+    def _finish_unserved(
         self, entry: base.Entry, answer: outcomes.Answer
     ) -> outcomes.Answer:
-        """Gives credit back, and says when to return from pressure."""
+        """Returns unused quota, and sets the retry-after time on overload."""
         if answer.outcome is outcomes.Outcome.NOT_RUN:
             self._accounts.give_back(entry)
-        if answer.reason not in _PRESSURE:
+        if answer.reason not in _OVERLOAD_REASONS:
             return answer
         retry_after_s = self._terms.retry_after_s(entry)
         return dataclasses.replace(answer, retry_after_s=retry_after_s)
 
-    def _note_turned_away(
+    def _record_rejection(
         self, entry: base.Entry, refusal: outcomes.Answer
     ) -> None:
-        """Keeps it in memory alone: guessers could fill the log."""
+        """Records the rejection in memory only.
+
+        Otherwise attackers who guess keys could fill the log.
+        """
         account = entry.account
         self._recorder.note(
             time.time(),
--- a/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/terms.py
@@ -1,7 +1,7 @@
-"""Gives a call the terms of its route and of its client account.
+"""Sets the terms of a call from its route and its client account.
 
-The route says which service serves it, how often it may run, how much it
-matters and how long its caller may be kept waiting.
+The route determines the service, the maximum number of attempts, the rank and
+the timeout of the call.
 """
 
 import random
@@ -16,23 +16,24 @@
 from burdockfront_node.filters import base
 from burdockfront_node.filters import identify
 
-# A final answer still has to be written when the time is over; this is for
-# one process under load to get round to it.
+# Time to write the final answer when the timeout has expired: the delay until a
+# process under load gets to it.
 _ANSWER_MARGIN_S = 0.04
-# A call of a backend server expires with its parent, which has that margin
-# already. Taken again in each layer it added up: requests of four layers lost
-# half of a time limit of 0.8 s, and one in fifteen failed for it.
+# A nested call expires with its parent, whose deadline already includes the
+# answer margin. When each layer subtracted that margin again, requests of four
+# layers lost half of a time limit of 0.8 s, and one in fifteen failed for it.
 _CALL_MARGIN_S = 0.002
-# Of the time within which an answer has its full value.
-_RETURN_SHARES = (0.3, 0.6)
-_MOST_RETURN_S = 2.0
+# Range of the retry-after time, as shares of the route's target latency. An
+# answer within the target latency has its full value.
+_RETRY_AFTER_SHARES = (0.3, 0.6)
+_MAX_RETRY_AFTER_S = 2.0
 
 
 class Terms:
     """Sets service, context, deadline and call.
 
     Args:
-        routed: What filters of a node with routes use.
+        routed: Components for the filters of a routed node.
     """
 
     def __init__(self, routed: base.RoutedTools):
@@ -47,23 +48,23 @@
         self._parent_of = routed.parent_of
 
     def retry_after_s(self, entry: base.Entry) -> float:
-        """Returns when a caller that was refused for pressure should return.
+        """Returns the retry-after time of a request refused for overload.
 
-        Soon enough that an answer is still of full value then; pressure moves
-        within tenths of a second, so later is no better. Spread out, since
-        many are refused in the same moment.
+        It is short enough that the answer to a retry still has its full value.
+        Load changes within tenths of a second, so a longer time would not help.
+        It is random, because many requests are refused at the same moment.
         """
-        assert entry.route_match is not None, "it was given terms"
-        share = self._rng.uniform(*_RETURN_SHARES)
+        assert entry.route_match is not None, "the terms are set first"
+        share = self._rng.uniform(*_RETRY_AFTER_SHARES)
         return min(
-            _MOST_RETURN_S, share * entry.route_match.route.target_latency_s
+            _MAX_RETRY_AFTER_S, share * entry.route_match.route.target_latency_s
         )
 
     def set(self, entry: base.Entry) -> None:
-        """Gives a request the terms of its route and of its account."""
-        found = entry.route_match
-        assert found is not None, "the route is found before"
-        route = found.route
+        """Sets the terms of a request from its route and its account."""
+        match = entry.route_match
+        assert match is not None, "the route is found first"
+        route = match.route
         account = entry.account
         remaining_s = route.timeout_s
         if entry.caller_timeout_s is not None:
@@ -75,7 +76,7 @@
         units = max(0, route.max_attempts - 1)
         idempotent = route.repeat is routes.Repeat.IDEMPOTENT
         request = entry.request
-        entry.service = found.service
+        entry.service = match.service
         entry.target = request.target
         remaining_s = deadline_s - time.monotonic()
         if parent is None:
@@ -104,10 +105,10 @@
             )
         entry.deadline_s = deadline_s
         entry.call = calls.Call(
-            service=found.service,
+            service=match.service,
             method=request.method,
             target=request.target,
-            headers=self._passed_on(request.headers),
+            headers=self._forwarded_headers(request.headers),
             body=request.body,
             context=entry.context,
             deadline_s=deadline_s,
@@ -121,10 +122,10 @@
             account=account.name if account is not None else "",
         )
 
-    def _passed_on(
+    def _forwarded_headers(
         self, headers: tuple[tuple[str, str], ...]
     ) -> tuple[tuple[str, str], ...]:
-        """Returns what travels on, without what only nodes may say."""
+        """Returns the headers to forward, without the reserved ones."""
         reserved = self._reserved
         if self._resolver.accounts.in_use:
             reserved = self._reserved_with_accounts
--- a/packages/burdockfront-node/src/burdockfront_node/filters/ticketing.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/ticketing.py
@@ -1,9 +1,9 @@
-"""Confirmations need a ticket, which they carry as `Idempotency-Key`.
+"""Requires a ticket for confirmations, as the header `Idempotency-Key`.
 
-A key that a caller made up itself can't be served safely: when it repeats the
-key to another node, that node can't know whether the first one ran it. So a
-confirmation without a ticket is refused at once, and the refusal brings the
-ticket: one more round trip, once.
+A key that a caller generates itself is not safe: if the caller repeats the
+request at another node, that node can't know whether the first one ran it. A
+confirmation without a ticket is therefore refused at once, and the refusal
+carries a new ticket. This costs the caller one additional round trip.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 
 @base.FILTERS.register("ticketing")
 class Ticketing:
-    """Checks the ticket of a caller's confirmation."""
+    """Checks the tickets of confirmations."""
 
     def __init__(self, tools: base.Tools):
         self._dispatcher = tools.dispatcher
@@ -24,7 +24,7 @@
     async def __call__(
         self, entry: base.Entry, following: base.Next
     ) -> outcomes.Answer:
-        """Refuses a confirmation without a ticket of this service."""
+        """Refuses a confirmation without a ticket for its service."""
         assert entry.call is not None
         if entry.parent is not None or entry.call.idempotent:
             return await following(entry)
--- a/packages/burdockfront-node/src/burdockfront_node/filters/trace.py
+++ b/packages/burdockfront-node/src/burdockfront_node/filters/trace.py
@@ -1,4 +1,4 @@
-"""Puts the beginning and end of each request on the time line."""
+"""Records the start and end of each request on the timeline."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 
 @base.FILTERS.register("trace")
 class Trace:
-    """Records what a caller asked for and what it got."""
+    """Records requests and their answers."""
 
     def __init__(self, tools: base.Tools):
         self._recorder = tools.recorder
@@ -17,7 +17,7 @@
     async def __call__(
         self, entry: base.Entry, following: base.Next
     ) -> outcomes.Answer:
-        """Records an event before and one after."""
+        """Records one event before and one after the following filters."""
         context = entry.context
         assert context is not None
         started_s = time.monotonic()
