--- a/tests/unit/test_account_filter.py
+++ b/tests/unit/test_account_filter.py
@@ -1,4 +1,4 @@
-"""What callers get for their keys and quotas."""
+"""Admission of callers by API key and quota."""
 
 import pytest
 
@@ -11,27 +11,27 @@
 
 
 class _Quotas:
-    """Quotas whose answers a test sets."""
+    """Quotas with answers that a test sets."""
 
-    def __init__(self, at_once: float | None = 0.0, asked: float = 0.0):
-        self.at_once = at_once
-        self.asked = asked
-        self.spent: list[int] = []
-        self.given_back: list[str] = []
+    def __init__(self, local_s: float | None = 0.0, remote_s: float = 0.0):
+        self.local_s = local_s
+        self.remote_s = remote_s
+        self.consumed_ranks: list[int] = []
+        self.returned: list[str] = []
 
     is_known = True
 
     def consume(
         self, account: accounts.Account, rank: int, now_s: float
     ) -> float | None:
-        self.spent.append(rank)
-        return self.at_once
+        self.consumed_ranks.append(rank)
+        return self.local_s
 
     async def ask(self, account: accounts.Account, rank: int) -> float:
-        return self.asked
+        return self.remote_s
 
     def give_back(self, account: accounts.Account) -> None:
-        self.given_back.append(account.name)
+        self.returned.append(account.name)
 
 
 _ACME = builders.an_account("acme", "k-acme", rate_per_s=5.0)
@@ -50,7 +50,7 @@
     return chain.run(entry, answer)
 
 
-def test_key_becomes_the_name_of_its_account():
+def test_key_is_replaced_by_the_account_name():
     entry = route_chain.an_entry(("x-api-key", "k-acme"), ("tenant", "zeta"))
     answer = _run(entry)
     assert answer.outcome is outcomes.Outcome.DONE
@@ -69,19 +69,19 @@
         (("x-api-key", "k-acme"), ("x-api-key", "k-none")),
     ],
 )
-def test_request_without_one_known_key_is_refused_before_any_work(headers):
-    """Guards against callers that run without an account."""
+def test_request_without_exactly_one_known_key_is_refused_at_once(headers):
+    """Guards against requests that run without a client account."""
     quotas = _Quotas()
     entry = route_chain.an_entry(*headers)
     answer = _run(entry, quotas)
     assert answer.reason is outcomes.Reason.UNKNOWN_KEY
     assert answer.status == 401
     assert entry.call is None
-    assert not quotas.spent
+    assert not quotas.consumed_ranks
 
 
-def test_public_route_needs_no_key_and_passes_none_on():
-    """Guards against a key that leaves by a route that needs none."""
+def test_public_route_needs_no_key_and_forwards_none():
+    """Guards against keys that are forwarded on public routes."""
     entry = route_chain.an_entry(("x-api-key", "k-none"), ("tenant", "acme"))
     answer = _run(entry, public=True)
     assert answer.outcome is outcomes.Outcome.DONE
@@ -89,25 +89,25 @@
     assert entry.call.headers == (("x", "y"),)
 
 
-def test_without_accounts_a_header_of_that_name_is_the_callers_own():
-    """Guards against services of places without accounts that lose it."""
+def test_key_header_is_forwarded_when_no_accounts_exist():
+    """Guards against removing the header where accounts are not in use."""
     entry = route_chain.an_entry(("x-api-key", "theirs"))
     chain = route_chain.RouteChain(builders.a_table(3))
     chain.run(entry)
     assert ("x-api-key", "theirs") in entry.call.headers
 
 
-def test_request_over_its_quota_is_told_when_to_return():
+def test_request_over_quota_is_refused_with_retry_after():
     entry = route_chain.an_entry(("x-api-key", "k-acme"))
-    answer = _run(entry, _Quotas(at_once=0.7))
+    answer = _run(entry, _Quotas(local_s=0.7))
     assert answer.reason is outcomes.Reason.OVER_QUOTA
     assert answer.status == 429
     assert answer.retry_after_s == 0.7
     assert entry.call is None
 
 
-def test_node_that_knows_no_others_yet_spends_nothing():
-    """Guards against whole quotas dealt by each of many that start at once."""
+def test_node_without_known_members_admits_nothing():
+    """Guards against nodes that start together and each grant a whole quota."""
     quotas = _Quotas(None)
     quotas.is_known = False
     entry = route_chain.an_entry(("x-api-key", "k-acme"))
@@ -117,33 +117,33 @@
     assert entry.call is None
 
 
-def test_what_cannot_be_decided_here_is_asked():
+def test_undecided_request_is_decided_by_another_node():
     entry = route_chain.an_entry(("x-api-key", "k-acme"))
     assert _run(entry, _Quotas(None, 0.4)).retry_after_s == 0.4
     again = route_chain.an_entry(("x-api-key", "k-acme"))
     assert _run(again, _Quotas(None, 0.0)).status == 200
 
 
-def test_request_that_ran_nowhere_gives_its_credit_back():
-    """Guards against callers who pay for what was refused for load."""
+def test_request_that_did_not_run_returns_its_quota():
+    """Guards against charging callers for requests refused for overload."""
     quotas = _Quotas()
     entry = route_chain.an_entry(("x-api-key", "k-acme"))
     _run(entry, quotas, builders.a_refusal())
-    assert quotas.given_back == ["acme"]
+    assert quotas.returned == ["acme"]
 
 
-def test_request_that_may_have_run_is_spent():
+def test_request_that_may_have_run_keeps_its_quota_used():
     quotas = _Quotas()
     entry = route_chain.an_entry(("x-api-key", "k-acme"))
     lost = outcomes.unknown(outcomes.Reason.LOST_ANSWER)
     _run(entry, quotas, lost)
-    assert not quotas.given_back
+    assert not quotas.returned
 
 
-def test_no_key_is_recorded():
-    """Guards against secrets in the time line, which operators see."""
+def test_keys_are_not_recorded():
+    """Guards against secrets on the timeline, which operators can read."""
     table = builders.a_table(3, accounts=(_ACME,))
-    chain = route_chain.RouteChain(table, quotas=_Quotas(at_once=1.0))
+    chain = route_chain.RouteChain(table, quotas=_Quotas(local_s=1.0))
     for key in ("k-acme", "k-none"):
         chain.run(route_chain.an_entry(("x-api-key", key)))
     events = chain.recorder.select(timeline.Filter(), 100)
--- a/tests/unit/test_route_filter.py
+++ b/tests/unit/test_route_filter.py
@@ -1,4 +1,4 @@
-"""Terms that a route gives to a request."""
+"""Terms that the route filter sets for a request."""
 
 import math
 import random
@@ -40,21 +40,22 @@
     return chain.run(entry, answer)
 
 
-def test_time_limit_of_a_deep_request_is_not_used_up_by_margins():
-    # A request of four layers with 0.8 s. Each layer took a margin off for
-    # itself, a tenth of a second together, and calls expired though half of
-    # the time was left: one request in fifteen failed on a quiet day.
+def test_margins_do_not_add_up_across_layers():
+    # Guards against subtracting the answer margin again in each layer. For a
+    # request of four layers with 0.8 s this added up to a tenth of a second.
+    # Calls expired although half of the time was left, and one request in
+    # fifteen failed under light load.
     remaining_s = 0.8
     for depth in range(4):
-        link = _filter(builders.a_route(), new_work=depth == 0)
+        chain = _filter(builders.a_route(), new_work=depth == 0)
         entry = _entry(caller_timeout_s=remaining_s)
-        _run(link, entry)
+        _run(chain, entry)
         assert entry.call is not None
-        remaining_s = _told_to_the_guard_s(entry.call)
+        remaining_s = _remaining_at_the_guard_s(entry.call)
     assert remaining_s > 0.8 - 0.05
 
 
-def _told_to_the_guard_s(call: calls.Call) -> float:
+def _remaining_at_the_guard_s(call: calls.Call) -> float:
     recorder = timeline.Recorder("n1", "dc1", 10)
     sender = sender_lib.Sender(
         "n1",
@@ -70,14 +71,14 @@
     return attempt.context.remaining_s
 
 
-def test_operators_time_limit_bounds_what_the_caller_would_wait():
-    link = _filter(builders.a_route(timeout_s=2.0))
+def test_route_timeout_limits_the_callers_deadline():
+    chain = _filter(builders.a_route(timeout_s=2.0))
     entry = _entry(caller_timeout_s=60.0)
-    _run(link, entry)
+    _run(chain, entry)
     assert 1.9 < entry.context.remaining_s < 2.0
 
 
-def test_headers_that_only_nodes_may_set_are_left_out():
+def test_reserved_headers_are_removed():
     entry = _entry()
     _run(_filter(builders.a_route()), entry)
     assert entry.call.headers == (("x", "y"),)
@@ -85,7 +86,7 @@
     assert entry.call.origin_service == "timetable"
 
 
-def test_at_most_once_is_said_by_the_route_and_not_by_the_method():
+def test_route_and_not_method_decides_on_at_most_once():
     once = builders.a_route(repeat=routes.Repeat.AT_MOST_ONCE, max_attempts=3)
     entry = _entry()
     _run(_filter(once), entry)
@@ -93,9 +94,9 @@
     assert entry.call.pool.units == allowance.AllowancePool(2).units
 
 
-def test_without_a_table_nothing_is_denied():
-    # A node that has just started knows no routes. "Not found" would be taken
-    # as final, and the caller would not come back.
+def test_request_without_a_route_table_is_refused_with_retry_after():
+    # A node that has just started has no route table. Callers would treat "not
+    # found" as final and would not retry.
     answer = _run(_filter(), _entry())
     assert answer.reason is outcomes.Reason.NO_CONFIGURATION
     assert answer.retry_after_s
@@ -114,18 +115,22 @@
         outcomes.Reason.OVERLOAD_DEEPER,
     ],
 )
-def test_refused_callers_are_told_to_return_while_it_is_worth_it(reason):
-    # In time for an answer of full value, and not all in the same moment.
-    link = _filter(builders.a_route(target_latency_s=1.0))
+def test_overload_refusals_have_random_retry_after_within_target_latency(
+    reason,
+):
+    # Guards against retries that are too late for an answer of full value, and
+    # against all callers retrying at the same moment.
+    chain = _filter(builders.a_route(target_latency_s=1.0))
     refusal = outcomes.not_run(reason, 9.0)
-    told = [_run(link, _entry(), refusal).retry_after_s for _ in range(20)]
-    assert all(0.3 <= wait_s <= 0.6 for wait_s in told)
-    assert len({round(wait_s, 4) for wait_s in told}) > 10
+    waits_s = [_run(chain, _entry(), refusal).retry_after_s for _ in range(20)]
+    assert all(0.3 <= wait_s <= 0.6 for wait_s in waits_s)
+    assert len({round(wait_s, 4) for wait_s in waits_s}) > 10
 
 
-def test_call_inherits_from_the_request_that_it_is_made_for():
-    # Each call of a browse would draw an ordinal of its own, and a call of a
-    # confirmation would wait behind those of browsing.
+def test_nested_call_inherits_from_its_parent_request():
+    # Without inheritance, each nested call of a browsing request would have an
+    # ordinal of its own, and a nested call of a confirmation would queue behind
+    # those of browsing requests.
     parent = builders.a_context(rank=0, ordinal=77, depth=1)
     entry = _entry()
     _run(_filter(builders.a_route(rank=5), parent=parent), entry)
@@ -135,7 +140,7 @@
     assert entry.call.parent_class == parent.class_name
 
 
-def test_new_work_and_calls_are_told_apart():
+def test_depth_distinguishes_new_work_from_nested_calls():
     for new_work, depth in ((True, 0), (False, 1)):
         entry = _entry()
         _run(_filter(builders.a_route(), new_work=new_work), entry)
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: a wrong value is named with its path and the remedy."""
+"""Validation of settings: errors name the path of a value and the remedy."""
 
 import pytest
 
@@ -34,7 +34,7 @@
         ({"ticket_lifetime_s": 1}, "ticket_lifetime_s"),
     ],
 )
-def test_wrong_values_are_named(changes, message):
+def test_invalid_values_are_named(changes, message):
     with pytest.raises(errors.SettingsError, match=message):
         settings.parse(_document(**changes), "node.yaml")
 
@@ -46,9 +46,9 @@
         settings.parse(document, "node.yaml")
 
 
-def test_each_wrong_value_of_a_file_is_named_with_its_line(tmp_path):
-    # A file of hundreds of lines, and two mistakes: its operator finds both at
-    # once, also a key that is absent or misspelt in a part of it.
+def test_each_invalid_value_of_a_file_is_named_with_its_line(tmp_path):
+    # All mistakes in a file of hundreds of lines are reported in one run,
+    # including missing and misspelt keys of nested sections.
     path = tmp_path / "node.yaml"
     path.write_text(
         "data_center: dc1\n"
@@ -63,26 +63,26 @@
     )
     with pytest.raises(errors.SettingsError) as raised:
         settings.load(path)
-    told = str(raised.value)
-    assert "line 1: node_id: required" in told
-    assert "line 2: caller_address" in told
-    assert "line 5: gossip.period: unknown key" in told
-    assert "line 8: peer_keys.1" in told
+    message = str(raised.value)
+    assert "line 1: node_id: required" in message
+    assert "line 2: caller_address" in message
+    assert "line 5: gossip.period: unknown key" in message
+    assert "line 8: peer_keys.1" in message
 
 
-def test_file_that_is_not_there(tmp_path):
+def test_missing_file_is_refused_with_the_remedy(tmp_path):
     with pytest.raises(errors.SettingsError, match="--settings"):
         settings.load(tmp_path / "none.yaml")
 
 
-def test_file_that_is_not_yaml(tmp_path):
+def test_file_that_is_not_yaml_is_refused(tmp_path):
     path = tmp_path / "node.yaml"
     path.write_text("a: [")
     with pytest.raises(errors.SettingsError, match="not valid YAML"):
         settings.load(path)
 
 
-def test_wrong_announcement_is_named():
+def test_invalid_field_of_an_announcement_is_named():
     with pytest.raises(errors.InvalidInputError, match="slots"):
         backend.parse_announcement(
             {"service": "fees", "address": "127.0.0.1:1", "slots": 0}
