--- a/packages/burdockfront-node/src/burdockfront_node/adapters.py
+++ b/packages/burdockfront-node/src/burdockfront_node/adapters.py
@@ -147,7 +147,7 @@
 class HeartbeatReceiver(Protocol):
     """Receives the heartbeats of the backend server beside the node."""
 
-    def on_heartbeat(self, beat: incarnations.Heartbeat) -> None:
+    def on_heartbeat(self, heartbeat: incarnations.Heartbeat) -> None:
         """Handles a heartbeat."""
 
     def leave(self, instance_id: str) -> None:
--- a/packages/burdockfront-node/src/burdockfront_node/daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/daemon.py
@@ -59,7 +59,7 @@
 
     Args:
         settings: Validated settings.
-        path: The settings file, read again at SIGHUP for replaced keys.
+        path: The settings file, read again on SIGHUP for replaced keys.
     """
 
     def __init__(self, settings: settings_lib.NodeSettings, path: pathlib.Path):
@@ -337,7 +337,7 @@
             m.to_target() for m in members if m.service
         )
 
-    # ---- life -----------------------------------------------------------
+    # ---- start and shutdown ---------------------------------------------
 
     async def run(self) -> None:
         """Runs until SIGTERM or SIGINT requests a graceful shutdown.
--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -323,7 +323,7 @@
             return True
         return time.monotonic() < self._refuses_after_s
 
-    # ---- life -----------------------------------------------------------
+    # ---- start and shutdown ---------------------------------------------
 
     def _background_tasks(self) -> list[supervision.Work]:
         return [
