--- a/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
+++ b/packages/burdockfront-bench/src/burdockfront_bench/site_model/nodes.py
@@ -54,7 +54,7 @@
 
     is_known = True
 
-    def spend(
+    def consume(
         self, account: accounts.Account, rank: int, now_s: float
     ) -> float | None:
         """Admits a request."""
@@ -291,7 +291,7 @@
             b"",
         )
         entry = base.Entry(
-            request, caller_request_id=request_id, caller_waits_s=left_s
+            request, caller_request_id=request_id, caller_timeout_s=left_s
         )
         try:
             async with asyncio.timeout(left_s):
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/heartbeats.py
@@ -55,7 +55,7 @@
         self._service = service
         self._announced: incarnations_lib.Heartbeat | None = None
 
-    def hear(self, heartbeat: incarnations_lib.Heartbeat) -> None:
+    def on_heartbeat(self, heartbeat: incarnations_lib.Heartbeat) -> None:
         """Processes a heartbeat; one of an unknown service is ignored."""
         if not self._knows(heartbeat.service):
             self._record(
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/initial_health_check.py
@@ -18,8 +18,8 @@
 from burdockfront import self_reports
 from burdockfront_client import connection as connection_lib
 from burdockfront_client import pool as pool_lib
+from burdockfront_node import adapters
 from burdockfront_node import backend_self_reports
-from burdockfront_node import surroundings
 from burdockfront_node.controllers import heartbeats as heartbeats_lib
 from burdockfront_node.controllers import route_watch as route_watch_lib
 
@@ -53,7 +53,7 @@
         service: str,
         data_center: str,
         address: str,
-        dialect: surroundings.Dialect,
+        dialect: adapters.Dialect,
         resolver: routes_lib.RouteResolver,
         route_watch: route_watch_lib.RouteWatch,
         incarnations: incarnations_lib.IncarnationTracker,
@@ -81,7 +81,7 @@
         # A heartbeat that arrived meanwhile takes precedence.
         if health is None or self._incarnations.current is not None:
             return
-        self._heartbeats.hear(
+        self._heartbeats.on_heartbeat(
             incarnations_lib.Heartbeat(
                 instance_id=health.instance_id,
                 service=self._service,
@@ -99,7 +99,7 @@
             incarnation = incarnations_lib.Incarnation(health.instance_id)
             self._reports.on_answer(health.notice, incarnation, asked_s)
 
-    async def _request_health(self, path: str) -> surroundings.Health | None:
+    async def _request_health(self, path: str) -> adapters.Health | None:
         request = connection_lib.encode_request(
             "GET", path, self._address, (), b""
         )
--- a/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
+++ b/packages/burdockfront-node/src/burdockfront_node/controllers/quota_exchange.py
@@ -106,7 +106,7 @@
         """The node that answered the last report."""
         return self._allocator_id
 
-    def spend(
+    def consume(
         self, account: accounts_lib.Account, rank: int, now_s: float
     ) -> float | None:
         """Admits or refuses one request locally.
--- a/packages/burdockfront-node/src/burdockfront_node/operators.py
+++ b/packages/burdockfront-node/src/burdockfront_node/operators.py
@@ -5,7 +5,7 @@
 
 from burdockfront import errors
 from burdockfront import timeline
-from burdockfront_node import daemon_parts
+from burdockfront_node import daemon_components
 
 _MAX_EVENTS = 5_000
 
@@ -17,7 +17,7 @@
         parts: Components of the node.
     """
 
-    def __init__(self, parts: "daemon_parts.Parts"):
+    def __init__(self, parts: "daemon_components.Components"):
         self._parts = parts
 
     async def status(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -83,7 +83,7 @@
         configuration = self._parts.exchange.configuration
         applied = configuration.applied().get(service)
         if applied is None:
-            document = daemon_parts.default_document(service)
+            document = daemon_components.default_document(service)
             return {"revision": 0, "document": document, "change_id": ""}
         return {
             "revision": applied.revision,
--- a/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_handover.py
@@ -16,8 +16,8 @@
 from burdockfront_client import connection as connection_lib
 from burdockfront_client import pool as pool_lib
 from burdockfront_client import wire
+from burdockfront_node import adapters
 from burdockfront_node import backend as backend_lib
-from burdockfront_node import surroundings
 
 # Time after the deadline for the backend server's own answer to arrive; the
 # server is on the same VM. The calling node waits slightly longer.
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        dialect: surroundings.Dialect,
+        dialect: adapters.Dialect,
         incarnations: incarnations_lib.IncarnationTracker,
         attempts: attempts_lib.AttemptTracker,
     ):
@@ -72,7 +72,7 @@
                 outcomes.Reason.DEADLINE, admission.RETRY_AFTER_S
             )
         pool = self._pool_of(announced.address, current)
-        terms = surroundings.BackendTerms(
+        terms = adapters.BackendTerms(
             remaining_s,
             current.instance_id,
             attempt.call.origin_service,
@@ -114,9 +114,7 @@
             self._born_ms = current.born_ms
         return self._pool
 
-    def _encode(
-        self, call: calls.Call, terms: surroundings.BackendTerms
-    ) -> bytes:
+    def _encode(self, call: calls.Call, terms: adapters.BackendTerms) -> bytes:
         """Returns the encoded request with the headers of this attempt."""
         headers = (*call.headers, *self._dialect.to_backend(terms))
         return connection_lib.encode_request(
@@ -136,23 +134,23 @@
     def _forwarded_headers(
         self, headers: tuple[tuple[str, str], ...]
     ) -> tuple[tuple[str, str], ...]:
-        stays = self._dialect.stays
+        not_forwarded = self._dialect.not_forwarded
         kept = wire.end_to_end(headers)
-        return tuple([pair for pair in kept if pair[0] not in stays])
+        return tuple([pair for pair in kept if pair[0] not in not_forwarded])
 
     def _evaluate(
         self, answer: connection_lib.RawAnswer, instance_id: str
     ) -> outcomes.Answer:
-        if not self._dialect.is_whole(answer):
+        if not self._dialect.is_complete(answer):
             return outcomes.unknown(outcomes.Reason.LOST_ANSWER)
-        match self._dialect.word_of(answer):
-            case surroundings.BackendWord.REJECTED:
+        match self._dialect.outcome_of(answer):
+            case adapters.BackendOutcome.REJECTED:
                 refusal = outcomes.not_run(
                     outcomes.Reason.REJECTED, admission.RETRY_AFTER_S
                 )
-                refusal.notice = self._dialect.said_by(answer)
+                refusal.notice = self._dialect.notice_of(answer)
                 return refusal
-            case surroundings.BackendWord.OTHER_INCARNATION:
+            case adapters.BackendOutcome.OTHER_INCARNATION:
                 # Another incarnation has the address now and has not run the
                 # request. Until its heartbeat arrives nothing is known of it.
                 self._incarnations.record_replaced(instance_id)
@@ -164,5 +162,5 @@
             answer.status,
             headers=self._forwarded_headers(answer.headers),
             body=answer.body,
-            notice=self._dialect.said_by(answer),
+            notice=self._dialect.notice_of(answer),
         )
