--- a/packages/burdockfront-ctl/src/burdockfront_ctl/__init__.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/__init__.py
@@ -1,6 +1,6 @@
 """The operators' query and command language.
 
 Ask (`show`, `why`, `timeline`, `history`), command (`set policy`, `drain`),
-and check afterwards (`verify change`). `language` parses, `questions` and
+and check afterwards (`verify change`). `language` parses, `queries` and
 `commands` talk to nodes, `render` shows.
 """
--- a/packages/burdockfront-ctl/src/burdockfront_ctl/main.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/main.py
@@ -15,7 +15,7 @@
 from burdockfront_ctl import language
 from burdockfront_ctl import losses
 from burdockfront_ctl import nodes as nodes_lib
-from burdockfront_ctl import questions
+from burdockfront_ctl import queries
 from burdockfront_ctl import render
 from burdockfront_ctl import settings as settings_lib
 
@@ -114,13 +114,13 @@
     try:
         match command:
             case language.Show():
-                return await questions.show(nodes, command)
+                return await queries.show(nodes, command)
             case language.Why():
-                return await questions.why(nodes, command)
+                return await queries.why(nodes, command)
             case language.Timeline():
-                return await questions.time_line(nodes, command)
+                return await queries.time_line(nodes, command)
             case language.History():
-                return await questions.history(nodes, command)
+                return await queries.history(nodes, command)
             case language.SetPolicy():
                 return await commands.set_policy(nodes, command, loaded.who)
             case language.Drain():
--- a/tests/unit/test_show_accounts.py
+++ b/tests/unit/test_show_accounts.py
@@ -7,7 +7,7 @@
 from burdockfront_ctl import accounts
 from burdockfront_ctl import language
 from burdockfront_ctl import nodes
-from burdockfront_ctl import questions
+from burdockfront_ctl import queries
 
 
 class _Nodes:
@@ -67,7 +67,7 @@
     )
     reply = nodes.Reply("n1", {"events": [event.to_json()]})
     view = asyncio.run(
-        questions.why(_Nodes([reply]), language.Why("request", "r-7"))
+        queries.why(_Nodes([reply]), language.Why("request", "r-7"))
     )
     assert "acme" in view.remarks[-1]
     assert "no token left" in view.remarks[-1]
