--- a/packages/burdockfront-ctl/src/burdockfront_ctl/__init__.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/__init__.py
@@ -1,6 +1,7 @@
 """The operators' query and command language.
 
-Ask (`show`, `why`, `timeline`, `history`), command (`set policy`, `drain`),
-and check afterwards (`verify change`). `language` parses, `queries` and
-`commands` talk to nodes, `render` shows.
+Queries are `show`, `why`, `timeline` and `history`; commands are `set policy`,
+`drain`, `undrain` and `release`; `verify change` checks that a change is in
+effect on all nodes. `language` parses the text, `queries` and `commands` send
+requests to nodes, and `render` formats the results.
 """
--- a/packages/burdockfront-ctl/src/burdockfront_ctl/language.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/language.py
@@ -1,4 +1,4 @@
-"""The language: a grammar, and one data class per kind of command.
+"""Grammar of the operators' language, with a data class per kind of command.
 
 show members | show nodes | show policy SERVICE | show levels
 show quarantine | show limits
@@ -61,7 +61,7 @@
 %ignore WS
 """
 
-_EXPECTED_NAMES = {
+_DISPLAY_NAMES = {
     "WORD": "a name",
     "FINGERPRINT": "a fingerprint of 16 hexadecimal digits",
     "INT": "a whole number",
@@ -73,7 +73,7 @@
 
 
 class LanguageError(errors.InvalidInputError):
-    """A command can't be understood; the message points at the word."""
+    """A command can't be parsed; the message marks the offending word."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -147,7 +147,7 @@
 
 
 class _ToCommand(lark.Transformer[lark.Token, Command]):
-    """Turns a parse tree into a command."""
+    """Transforms a parse tree into a command."""
 
     def show_members(self, _: Any) -> Show:
         return Show("members")
@@ -238,38 +238,39 @@
 
 
 def parse(text: str) -> Command:
-    """Reads a command.
+    """Parses a command.
 
     Raises:
-        LanguageError: The message points at the word that is wrong.
+        LanguageError: The text is not a valid command; the message marks the
+            offending word.
     """
     try:
         tree = _PARSER.parse(text)
     except lark.UnexpectedInput as error:
-        raise LanguageError(_explain(text, error)) from None
+        raise LanguageError(_error_message(text, error)) from None
     command: Command = _ToCommand().transform(tree)
     return command
 
 
-def _explain(text: str, error: lark.UnexpectedInput) -> str:
+def _error_message(text: str, error: lark.UnexpectedInput) -> str:
     column = error.column if error.column and error.column > 0 else 0
     at_end = isinstance(error, lark.UnexpectedEOF) or column == 0
     offset = len(text) + 1 if at_end else column - 1
     return (
-        f"{text}\n{' ' * offset}^ expected {_expected(error)}.\n"
+        f"{text}\n{' ' * offset}^ expected {_expected_tokens(error)}.\n"
         f"See 'burdockfront-ctl --help' for the language."
     )
 
 
-def _expected(error: lark.UnexpectedInput) -> str:
+def _expected_tokens(error: lark.UnexpectedInput) -> str:
     names: set[str] = set()
     for attribute in ("expected", "allowed"):
         found = getattr(error, attribute, None)
         if found:
             names |= {str(name) for name in found}
-    words = {_readable(name) for name in names if name != "WS"}
+    words = {_display_name(name) for name in names if name != "WS"}
     return " or ".join(sorted(words)) or "another word"
 
 
-def _readable(name: str) -> str:
-    return _EXPECTED_NAMES.get(name, f"'{name.lower()}'")
+def _display_name(name: str) -> str:
+    return _DISPLAY_NAMES.get(name, f"'{name.lower()}'")
--- a/tests/unit/test_language.py
+++ b/tests/unit/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' language: what it takes, and how it points at mistakes."""
+"""Tests for parsing the operators' language and its error messages."""
 
 import pytest
 
@@ -47,7 +47,7 @@
         ("history fees", language.History("fees")),
     ],
 )
-def test_commands(text, command):
+def test_command_is_parsed(text, command):
     assert language.parse(text) == command
 
 
@@ -61,7 +61,7 @@
         ("", 1, "'show'"),
     ],
 )
-def test_mistakes_are_pointed_at(text, column, expected):
+def test_error_message_marks_the_offending_word(text, column, expected):
     with pytest.raises(language.LanguageError) as caught:
         language.parse(text)
     lines = str(caught.value).split("\n")
