--- a/packages/burdockfront-ctl/src/burdockfront_ctl/main.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/main.py
@@ -1,4 +1,4 @@
-"""Command line of the operators' command."""
+"""Command line interface for operators."""
 
 import asyncio
 import itertools
@@ -21,8 +21,8 @@
 
 app = cyclopts.App(
     name="burdockfront-ctl",
-    help="Asks what the system does and why, changes its policy, and checks."
-    "\n\nThe language:\n\n"
+    help="Queries the state of the system, changes its policy, and verifies "
+    "changes.\n\nThe language:\n\n"
     + "\n\n".join(
         line.strip()
         for line in (language.__doc__ or "").splitlines()[2:]
@@ -42,17 +42,17 @@
     json: bool = False,
     picture: pathlib.Path | None = None,
 ) -> None:
-    """Asks or commands, in the operators' language.
+    """Runs a query or command in the operators' language.
 
     Examples:
     burdockfront-ctl show members;
     burdockfront-ctl set policy enrolment retry.allowance = 1 if revision 12
 
     Args:
-        words: The command, as words.
+        words: The query or command.
         settings: YAML file with nodes, operator_key and who.
-        json: Print JSON for programs.
-        picture: Also draw the time line into this SVG file.
+        json: Print JSON instead of a table.
+        picture: Also draw the timeline into this SVG file.
     """
     text = " ".join(words)
     try:
@@ -72,18 +72,18 @@
 
 @app.command(name="new-key")
 def new_key() -> None:
-    """Prints a new key for peer_keys or operator_keys."""
+    """Prints a new random key for peer_keys or operator_keys."""
     print(secrets.token_urlsafe(32))
 
 
 @app.command(name="losses")
 def show_losses(*logs: pathlib.Path) -> None:
-    """Says which requests were lost, where and why, from nodes' logs.
+    """Shows which requests failed, where and why, from nodes' logs.
 
     Example: burdockfront-ctl losses node-1.log node-2.log
 
     Args:
-        logs: Files with lines of any number of nodes.
+        logs: Log files of any number of nodes.
     """
     if not logs:
         _fail(
@@ -93,23 +93,23 @@
             ),
             _EXIT_BAD_INPUT,
         )
-    lines = itertools.chain.from_iterable(map(_lines_of, logs))
+    lines = itertools.chain.from_iterable(map(_read_lines, logs))
     print(losses.to_text(losses.read(lines)))
 
 
-def _lines_of(log: pathlib.Path) -> Iterator[bytes]:
+def _read_lines(log: pathlib.Path) -> Iterator[bytes]:
     try:
         with log.open("rb") as file:
             yield from file
     except OSError as error:
-        message = f"can't read {log} ({error}); check its name."
+        message = f"can't read {log} ({error}); check the file name."
         _fail(errors.InvalidInputError(message), _EXIT_BAD_INPUT)
 
 
 async def run(
     loaded: settings_lib.CtlSettings, command: language.Command
 ) -> render.View:
-    """Carries out one command."""
+    """Executes one query or command."""
     nodes = nodes_lib.Nodes(loaded.nodes, loaded.operator_key)
     try:
         match command:
@@ -118,7 +118,7 @@
             case language.Why():
                 return await queries.why(nodes, command)
             case language.Timeline():
-                return await queries.time_line(nodes, command)
+                return await queries.show_timeline(nodes, command)
             case language.History():
                 return await queries.history(nodes, command)
             case language.SetPolicy():
--- a/packages/burdockfront-ctl/src/burdockfront_ctl/queries.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/queries.py
@@ -1,4 +1,4 @@
-"""Answers questions: what the system does, and why."""
+"""Queries about the state of the system and the reasons for it."""
 
 import collections
 from typing import Any
@@ -11,27 +11,28 @@
 from burdockfront_ctl import nodes as nodes_lib
 from burdockfront_ctl import render
 
-_MOST_EVENTS = 5_000
+_MAX_EVENTS = 5_000
 _REASONS = {
     "overload": "the guard's queue was full or its level was below the "
     "request's priority: the backend servers of this service are saturated",
     "overload-deeper": "a deeper service on the path is saturated, so the "
-    "request was refused before any work was spent on it",
-    "limited": "the backend servers of this service name limits of their own, "
-    "and had no room for it in time; 'show limits' tells them",
+    "request was refused before any work was done for it",
+    "limited": "the backend servers of this service report rate limits of "
+    "their own, which left no room for it in time; see 'show limits'",
     "deadline": "its deadline could not be met",
-    "draining": "the backend server is leaving",
+    "draining": "the backend server is draining",
     "no-backend": "no backend server announces itself there",
     "unreachable": "no connection could be made to the backend server",
-    "lost-answer": "it was handed over, and the answer never came",
-    "unknown-key": "it bore no key, two, or one that admits nobody in the "
-    "table of that version; 'show accounts' tells which version nodes have",
-    "over-quota": "its client account had no token left over all nodes; 'show "
-    "accounts' tells its limit, and 'timeline kind quota.scarce' since when",
-    "ticket-needed": "a confirmation came without a ticket",
-    "ticket-bad": "its ticket is for another service or not ours",
-    "ticket-owner-gone": "the node that owned its ticket is gone",
-    "still-running": "it still ran when the caller repeated",
+    "lost-answer": "it was handed over, but no answer was received",
+    "unknown-key": "it had no key, two keys, or a key that is not valid in the "
+    "table of that version; 'show accounts' lists the versions of the nodes",
+    "over-quota": "its client account had no token left, counted over all "
+    "nodes; see 'show accounts' for its limit, and 'timeline kind "
+    "quota.scarce' for the time since when",
+    "ticket-needed": "the confirmation had no ticket",
+    "ticket-bad": "its ticket is for another service or not from this system",
+    "ticket-owner-gone": "the node that owned its ticket is no longer there",
+    "still-running": "it was still running when the caller repeated it",
     "no-such-service": "no node knows this service",
 }
 
@@ -78,18 +79,18 @@
 
 
 async def _quarantine(nodes: nodes_lib.Nodes) -> render.View:
-    refusing: dict[str, list[str]] = {}
+    refusing_nodes: dict[str, list[str]] = {}
     for reply in await nodes.ask_all("status", {}):
         for fingerprint in (reply.data or {}).get("quarantined", ()):
-            refusing.setdefault(fingerprint, []).append(reply.node)
+            refusing_nodes.setdefault(fingerprint, []).append(reply.node)
     rows = [
         {"fingerprint": fingerprint, "refused by": ", ".join(sorted(names))}
-        for fingerprint, names in sorted(refusing.items())
+        for fingerprint, names in sorted(refusing_nodes.items())
     ]
     view = render.View("quarantine", ["fingerprint", "refused by"], rows)
     view.remarks.append(
-        "Backend servers crashed under these requests; 'timeline kind "
-        "backend.crashed' shows when. After a mend: 'release FINGERPRINT'."
+        "Backend servers crashed while running these requests; 'timeline kind "
+        "backend.crashed' shows when. After a fix: 'release FINGERPRINT'."
     )
     return view
 
@@ -98,13 +99,13 @@
     rows = []
     for reply in await nodes.ask_all("status", {}):
         if reply.data is not None:
-            rows.append({**reply.data, **_refusals(reply.data)})
+            rows.append({**reply.data, **_guard_counters(reply.data)})
     rows.sort(key=lambda row: (str(row["service"]), str(row["node"])))
     columns = ["service", "node", "level", "load", "handed_over", "refused"]
     return render.View("levels (2048 = open)", columns, rows)
 
 
-def _refusals(data: dict[str, Any]) -> dict[str, Any]:
+def _guard_counters(data: dict[str, Any]) -> dict[str, Any]:
     counters = data["counters"]
     return {
         "handed_over": counters["guard.handed_over"],
@@ -116,7 +117,7 @@
     found = await nodes.ask_any("policy", {"service": service})
     rows = [
         {"field": path, "value": value}
-        for path, value in _flat("", found["document"])
+        for path, value in _flatten("", found["document"])
     ]
     title = f"policy {service}, revision {found['revision']}"
     if found["change_id"]:
@@ -124,18 +125,18 @@
     return render.View(title, ["field", "value"], rows)
 
 
-def _flat(prefix: str, value: Any) -> list[tuple[str, Any]]:
+def _flatten(prefix: str, value: Any) -> list[tuple[str, Any]]:
     if isinstance(value, dict):
         return [
             pair
             for key, item in value.items()
-            for pair in _flat(f"{prefix}.{key}" if prefix else key, item)
+            for pair in _flatten(f"{prefix}.{key}" if prefix else key, item)
         ]
     if isinstance(value, list) and value and isinstance(value[0], dict):
         return [
             pair
             for item in value
-            for pair in _flat(f"{prefix}.{item['name']}", item)
+            for pair in _flatten(f"{prefix}.{item['name']}", item)
             if not pair[0].endswith(".name")
         ]
     return [(prefix, value)]
@@ -151,32 +152,38 @@
 
 
 async def events(
-    nodes: nodes_lib.Nodes, wanted: timeline.Filter, most: int
+    nodes: nodes_lib.Nodes, event_filter: timeline.Filter, limit: int
 ) -> list[timeline.Event]:
-    """Returns the events of all nodes in causal order."""
+    """Returns the latest matching events of all nodes in causal order.
+
+    Args:
+        nodes: The nodes to ask.
+        event_filter: Which events to return.
+        limit: Maximum number of events, both of each node and in total.
+    """
     message = {
-        "request": wanted.request,
-        "node": wanted.node,
-        "data_center": wanted.data_center,
-        "kind": wanted.kind,
-        "most": min(most, _MOST_EVENTS),
+        "request": event_filter.request,
+        "node": event_filter.node,
+        "data_center": event_filter.data_center,
+        "kind": event_filter.kind,
+        "most": min(limit, _MAX_EVENTS),
     }
     parts = []
     for reply in await nodes.ask_all("events", message):
         if reply.data is not None:
             found = reply.data["events"]
             parts.append([timeline.event_from_json(e) for e in found])
-    return timeline.merge(parts)[-most:]
+    return timeline.merge(parts)[-limit:]
 
 
-async def time_line(
+async def show_timeline(
     nodes: nodes_lib.Nodes, command: language.Timeline
 ) -> render.View:
     """Answers `timeline`."""
-    wanted = timeline.Filter(
+    event_filter = timeline.Filter(
         command.request, command.node, command.data_center, command.kind
     )
-    found = await events(nodes, wanted, command.last)
+    found = await events(nodes, event_filter, command.last)
     return render.of_events("time line", found)
 
 
@@ -192,32 +199,32 @@
 
 
 async def _why_request(nodes: nodes_lib.Nodes, request: str) -> render.View:
-    wanted = timeline.Filter(request=request)
-    found = await events(nodes, wanted, _MOST_EVENTS)
+    event_filter = timeline.Filter(request=request)
+    found = await events(nodes, event_filter, _MAX_EVENTS)
     if not found:
         raise errors.InvalidInputError(
-            f"no node remembers request {request!r}; events are kept in "
-            f"memory only for a while ('events' in the node's settings)."
+            f"no node has events of request {request!r}; events are kept in "
+            f"memory only for a limited time ('events' in the node's settings)."
         )
     view = render.of_events(f"request {request}", found)
-    view.remarks.append(_explain_request(found))
+    view.remarks.append(_describe_outcome(found))
     return view
 
 
-def _explain_request(found: list[timeline.Event]) -> str:
+def _describe_outcome(found: list[timeline.Event]) -> str:
     ended = [e for e in found if e.kind == "entry.answered"]
-    turned_away = [e for e in found if e.kind == "entry.turned-away"]
+    rejected = [e for e in found if e.kind == "entry.turned-away"]
     refused = [e for e in found if e.kind == "call.refused"]
-    if turned_away and not ended:
-        detail = turned_away[-1].detail
+    if rejected and not ended:
+        detail = rejected[-1].detail
         reason = detail["reason"]
         whose = f" of {detail['account']}" if detail["account"] else ""
         return (
-            f"It{whose} was turned away ({reason}) under the table of version "
+            f"It{whose} was rejected ({reason}) under the table of version "
             f"{detail['routes']}: {_REASONS[reason]}."
         )
     if not ended:
-        return "It has not been answered yet, or its caller has gone."
+        return "It has not been answered yet, or its caller has disconnected."
     outcome = ended[-1].detail["outcome"]
     reason = ended[-1].detail["reason"]
     text = f"It ended '{outcome}'"
@@ -237,8 +244,8 @@
 async def _why_class(
     nodes: nodes_lib.Nodes, class_name: str, service: str
 ) -> render.View:
-    wanted = timeline.Filter(kind="call.refused")
-    found = await events(nodes, wanted, _MOST_EVENTS)
+    event_filter = timeline.Filter(kind="call.refused")
+    found = await events(nodes, event_filter, _MAX_EVENTS)
     counts: collections.Counter[tuple[str, str]] = collections.Counter()
     for event in found:
         detail = event.detail
@@ -256,7 +263,7 @@
     title = f"refusals of class {class_name} at {service}, as remembered"
     view = render.View(title, ["node", "reason", "refused", "meaning"], rows)
     if not rows:
-        view.remarks.append("No guard of this service refused this class.")
+        view.remarks.append("No guard of this service has refused this class.")
     return view
 
 
@@ -266,13 +273,13 @@
         raise errors.InvalidInputError(
             f"no member {name!r}; 'show members' lists them."
         )
-    found = await events(nodes, timeline.Filter(), _MOST_EVENTS)
+    found = await events(nodes, timeline.Filter(), _MAX_EVENTS)
     about = [
         e
         for e in found
         if e.detail.get("member") == name
         or e.detail.get("target") == name
-        or (e.node == name and e.kind.split(".")[0] in _ABOUT_A_NODE)
+        or (e.node == name and e.kind.split(".")[0] in _NODE_EVENT_KINDS)
     ]
     view = render.of_events(f"node {name}", about[-50:])
     member = members[name]
@@ -285,23 +292,23 @@
         f"{', '.join(ejecting) or 'nobody'}."
     )
     view.remarks += [
-        _explain_slots(r.data["gauges"])
+        _describe_slots(r.data["gauges"])
         for r in replies
         if r.data and r.node == name and r.data["gauges"]["guard.slots"]
     ]
     return view
 
 
-def _explain_slots(gauges: dict[str, float]) -> str:
+def _describe_slots(gauges: dict[str, float]) -> str:
     claimed = int(gauges["guard.slots_claimed"])
-    believed = int(gauges["guard.slots"])
-    if believed >= claimed:
+    accepted = int(gauges["guard.slots"])
+    if accepted >= claimed:
         return f"Its backend server has {claimed} slots."
     return (
-        f"Its backend server claims {claimed} slots, {believed} are believed: "
-        f"more are tried while all are in use, and kept if requests take no "
-        f"longer. If it really has them, restart it with that number."
+        f"Its backend server claims {claimed} slots, {accepted} are believed: "
+        f"more are tried while all are in use, and accepted if requests take "
+        f"no longer. If the claim is right, restart it with that number."
     )
 
 
-_ABOUT_A_NODE = ("backend", "node", "operator", "key")
+_NODE_EVENT_KINDS = ("backend", "node", "operator", "key")
