--- a/packages/burdockfront-ctl/src/burdockfront_ctl/commands.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/commands.py
@@ -1,4 +1,4 @@
-"""Carries out commands, and checks them afterwards."""
+"""Commands that change the system, and the check that they are in effect."""
 
 import secrets
 from typing import Any
@@ -12,11 +12,11 @@
 async def set_policy(
     nodes: nodes_lib.Nodes, command: language.SetPolicy, who: str
 ) -> render.View:
-    """Carries out `set policy`.
+    """Executes `set policy`.
 
     Raises:
-        RefusedError: Not valid, or somebody else changed it first; then the
-            message shows both versions.
+        RefusedError: The change is not valid, or the revision of the policy is
+            not the expected one; in that case the message shows both versions.
     """
     change_id = f"c-{secrets.token_hex(5)}"
     message = {
@@ -35,7 +35,7 @@
         raise nodes_lib.RefusedError(
             error.status,
             error.kind,
-            f"{error}\n{await _both_versions(nodes, command)}",
+            f"{error}\n{await _conflicting_versions(nodes, command)}",
         ) from None
     line = result["line"]
     view = render.View(
@@ -50,23 +50,23 @@
     return view
 
 
-async def _both_versions(
+async def _conflicting_versions(
     nodes: nodes_lib.Nodes, command: language.SetPolicy
 ) -> str:
     found = await nodes.ask_any("history", {"service": command.service})
     lines = found["lines"][-3:]
-    theirs = "\n".join(
+    conflicting = "\n".join(
         f"  theirs: {line['path']}: {line['before']} -> {line['after']} "
         f"(by {line['who']}, change {line['change_id']})"
         for line in lines
     )
-    return f"{theirs}\n  yours:  {command.path}: -> {command.value}"
+    return f"{conflicting}\n  yours:  {command.path}: -> {command.value}"
 
 
 async def drain(
     nodes: nodes_lib.Nodes, command: language.Drain, who: str
 ) -> render.View:
-    """Carries out `drain` and `undrain`.
+    """Executes `drain` and `undrain`.
 
     Raises:
         InvalidInputError: There is no such member.
@@ -83,8 +83,8 @@
     view = render.View("drain", ["node", "draining"], [row])
     if result["draining"] != command.draining:
         view.remarks.append(
-            "Its backend server itself announces that it drains; that can't "
-            "be taken back from here."
+            "Its backend server itself reports that it is draining; an "
+            "operator can't undo that."
         )
     return view
 
@@ -92,18 +92,19 @@
 async def release(
     nodes: nodes_lib.Nodes, command: language.Release, who: str
 ) -> render.View:
-    """Carries out `release`.
+    """Executes `release`.
 
     Raises:
-        RefusedError: No crash counts against such a request.
+        RefusedError: No crash is recorded for this fingerprint.
     """
     message = {"fingerprint": command.fingerprint, "who": who}
     result = await nodes.ask_any("release", message)
     row = {"fingerprint": command.fingerprint, "crashes": result["crashes"]}
     view = render.View("released", ["fingerprint", "crashes"], [row])
     view.remarks.append(
-        "All nodes hear of it within a second or two; check with 'show "
-        "quarantine'. If servers crash under it again, it is refused again."
+        "It reaches all nodes within a second or two; check with 'show "
+        "quarantine'. If servers crash again while running it, it is refused "
+        "again."
     )
     return view
 
@@ -111,14 +112,15 @@
 async def verify(
     nodes: nodes_lib.Nodes, command: language.Verify
 ) -> render.View:
-    """Answers `verify change`: in force on N of M nodes, since when.
+    """Executes `verify change`: on how many nodes it is in effect, since when.
 
     Raises:
-        InvalidInputError: Nobody knows this change.
+        InvalidInputError: The change is neither applied on a node nor in a
+            history.
     """
     replies = await nodes.ask_all("status", {})
-    service, revision = await _find(nodes, replies, command.change_id)
-    rows = [_row(reply, service, revision) for reply in replies]
+    service, revision = await _find_change(nodes, replies, command.change_id)
+    rows = [_verification_row(reply, service, revision) for reply in replies]
     in_force = [row for row in rows if row["in_force"]]
     view = render.View(
         f"change {command.change_id} of {service}, revision {revision}",
@@ -129,7 +131,7 @@
     since_s = max((float(row["since_s"] or 0) for row in in_force), default=0.0)
     missing = [str(row["node"]) for row in rows if not row["in_force"]]
     view.remarks.append(
-        f"In force on {len(in_force)} of {len(rows)} nodes"
+        f"In effect on {len(in_force)} of {len(rows)} nodes"
         + (
             f", on the last one since {render.clock(since_s)}"
             if in_force
@@ -141,10 +143,10 @@
     return view
 
 
-async def _find(
+async def _find_change(
     nodes: nodes_lib.Nodes, replies: list[nodes_lib.Reply], change_id: str
 ) -> tuple[str, int]:
-    """Returns service and revision of a change."""
+    """Returns the service and revision of a change."""
     services: set[str] = set()
     for reply in replies:
         for service, applied in (reply.data or {}).get("applied", {}).items():
@@ -156,20 +158,23 @@
         lines = found["lines"]
         for number, line in enumerate(lines):
             if line["change_id"] == change_id:
-                # It was replaced: the next change names its revision.
+                # A later change replaced this one: the `from_revision` of
+                # the next change is the revision of this one.
                 following = lines[number + 1 :]
                 if following:
                     return service, following[0]["from_revision"]
                 current = await nodes.ask_any("policy", {"service": service})
                 return service, current["revision"]
     raise errors.InvalidInputError(
-        f"no node and no history knows change {change_id!r}. If the command "
-        f"that made it ended unsettled, it did not take effect so far; see "
-        f"'history SERVICE'."
+        f"change {change_id!r} is not on any node or in any history. If the "
+        f"outcome of its command was unknown, it has not taken effect so far; "
+        f"see 'history SERVICE'."
     )
 
 
-def _row(reply: nodes_lib.Reply, service: str, revision: int) -> dict[str, Any]:
+def _verification_row(
+    reply: nodes_lib.Reply, service: str, revision: int
+) -> dict[str, Any]:
     if reply.data is None:
         return {"node": reply.node, "in_force": False, "why_not": reply.error}
     applied = reply.data["applied"].get(service)
@@ -177,7 +182,7 @@
     in_force = applied is not None and applied["revision"] >= revision
     why_not = ""
     if not in_force:
-        why_not = rejected["why"] if rejected else "not heard of it yet"
+        why_not = rejected["why"] if rejected else "not received yet"
     return {
         "node": reply.node,
         "in_force": in_force,
