--- a/packages/burdockfront-ctl/src/burdockfront_ctl/losses.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/losses.py
@@ -1,11 +1,11 @@
-"""Says from nodes' logs which requests were lost, where, and for what reason.
+"""Analysis of nodes' logs: which requests failed, at which service, and why.
 
 Each node logs how a request ended (`entry.answered`), what its guard refused
-(`call.refused`), how the backend server answered (`call.answered`), and what
-went to other data centres (`ways.moved`). A request that failed is laid to the
-deepest line that explains it: that of its own id, or of a call whose id extends
-it. Lines are left out of logs under load, so a cause may be missing; such
-requests are counted as "not in the logs".
+(`call.refused`), how the backend server answered (`call.answered`), and the
+traffic to other data centres (`ways.moved`). A failed request is attributed to
+the deepest log line that explains it: a line with its own id, or with the id of
+a call, which extends that id. Nodes drop log lines under load, so a cause may
+be missing; such requests are counted as "not in the logs".
 """
 
 import collections
@@ -18,17 +18,17 @@
 
 _SEPARATOR = re.compile(r"[^A-Za-z0-9]")
 _SERVER_ERROR = 500
-_UNEXPLAINED = "not in the logs"
+_NOT_IN_LOGS = "not in the logs"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cause:
-    """Why a request was lost.
+    """Why a request failed.
 
     Attributes:
-        service: Where it was refused or failed.
+        service: Service at which it was refused or failed; empty for the entry.
         reason: The guard's reason, or the status of the backend server.
-        depth: Calls between the request and that place.
+        depth: Number of nested calls between the request and that service.
     """
 
     service: str
@@ -38,13 +38,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Losses:
-    """What the lines of some nodes tell.
+    """Statistics of failed requests, from the logs of some nodes.
 
     Attributes:
-        asked: Requests of callers that ended, by class.
-        lost: How many of them got no good answer, by class and cause.
-        far_bytes: Bytes to other data centres, by service and class.
-        left_out: Lines that nodes left out of their logs.
+        asked: Number of callers' requests that ended, by class.
+        lost: Number of these that failed, by class and cause.
+        far_bytes: Bytes sent to other data centres, by service and class.
+        left_out: Largest number of lines that one node dropped from its log.
     """
 
     asked: collections.Counter[str]
@@ -54,11 +54,11 @@
 
 
 def read(lines: Iterable[bytes]) -> Losses:
-    """Reads lines of any number of nodes, in any order.
+    """Parses log lines of any number of nodes, in any order.
 
     Args:
-        lines: Lines of logs. What stands before the first brace is skipped, so
-            logs that a collector has marked are read as well.
+        lines: Log lines. Text before the first brace is skipped, so that
+            prefixes added by a log collector are accepted.
     """
     found = Losses(
         collections.Counter(),
@@ -66,38 +66,40 @@
         collections.Counter(),
         0,
     )
-    ended: dict[str, dict[str, Any]] = {}
+    answered: dict[str, dict[str, Any]] = {}
     causes: dict[str, Cause] = {}
     left_out: dict[str, int] = {}
     for line in lines:
-        event = _event_of(line)
+        event = _parse_event(line)
         if event is None:
             continue
         match event.get("kind"):
             case "entry.answered":
-                ended[event["request"]] = event
+                answered[event["request"]] = event
             case "call.refused" | "call.answered":
-                _note_cause(causes, event)
+                _record_cause(causes, event)
             case "ways.moved":
                 found.far_bytes.update(event["most_bytes"])
             case "log.dropped":
-                # The number of one process so far, without its name; the
-                # largest ones of all that write are what is known.
+                # The event has the total of one process so far, without the
+                # name of the process, so totals of several processes can't be
+                # added up. The largest one is reported.
                 left_out[str(event["lines"])] = event["lines"]
     found.left_out = max(left_out.values(), default=0)
-    for request_id, event in ended.items():
+    for request_id, event in answered.items():
         if _SEPARATOR.search(request_id):
-            # A call of a backend server; its request counts, not it.
+            # A call by a backend server; only the request that caused it
+            # is counted.
             continue
         found.asked[event["class_name"]] += 1
-        if not _is_good(event):
-            cause = causes.get(request_id) or _own_cause(event)
+        if not _is_success(event):
+            cause = causes.get(request_id) or _cause_at_entry(event)
             found.lost[(event["class_name"], cause)] += 1
     return found
 
 
 def to_text(found: Losses) -> str:
-    """Returns tables for people."""
+    """Formats the statistics as text tables."""
     total = found.asked.total()
     lines = [f"{total} requests ended; {found.lost.total()} were lost:", ""]
     lines.append(f"{'class':14} {'lost':>6} {'of':>6}  why, and how deep")
@@ -111,28 +113,32 @@
     for key, moved in found.far_bytes.most_common():
         lines.append(f"{moved / 1e6:10.2f}  {key}")
     if found.left_out:
-        lines += ["", f"A node left out up to {found.left_out} lines."]
+        lines += ["", f"A node dropped up to {found.left_out} log lines."]
     return "\n".join(lines)
 
 
-def _event_of(line: bytes) -> dict[str, Any] | None:
+def _parse_event(line: bytes) -> dict[str, Any] | None:
     begin = line.find(b"{")
     if begin < 0:
         return None
     try:
         event = orjson.loads(line[begin:])
     except orjson.JSONDecodeError:
-        # The output of something else, or a line that was cut.
+        # Output of another program, or a truncated line.
         return None
     return event if isinstance(event, dict) else None
 
 
-def _is_good(event: dict[str, Any]) -> bool:
+def _is_success(event: dict[str, Any]) -> bool:
     return event["outcome"] == "done" and event["status"] < _SERVER_ERROR
 
 
-def _note_cause(causes: dict[str, Cause], event: dict[str, Any]) -> None:
-    """Remembers a line that explains a request, and those above it."""
+def _record_cause(causes: dict[str, Cause], event: dict[str, Any]) -> None:
+    """Records the cause of a failure, unless one as deep is known.
+
+    Causes are kept under the id of the caller's request, the common prefix of
+    the ids of its calls.
+    """
     reason = event.get("reason") or ""
     if event["kind"] == "call.answered":
         if reason or event["status"] < _SERVER_ERROR:
@@ -142,14 +148,14 @@
     if not reason:
         return
     request_id = event["request"]
-    ends = [found.start() for found in _SEPARATOR.finditer(request_id)]
-    root = request_id[: ends[0]] if ends else request_id
-    cause = Cause(event["service"], reason, len(ends))
+    separators = [found.start() for found in _SEPARATOR.finditer(request_id)]
+    root = request_id[: separators[0]] if separators else request_id
+    cause = Cause(event["service"], reason, len(separators))
     known = causes.get(root)
     if known is None or cause.depth > known.depth:
         causes[root] = cause
 
 
-def _own_cause(event: dict[str, Any]) -> Cause:
-    reason = event["reason"] or _UNEXPLAINED
+def _cause_at_entry(event: dict[str, Any]) -> Cause:
+    reason = event["reason"] or _NOT_IN_LOGS
     return Cause("", reason, 0)
