--- a/packages/burdockfront-ctl/src/burdockfront_ctl/nodes.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/nodes.py
@@ -1,4 +1,4 @@
-"""Asks nodes, one or all of them."""
+"""Client for the operator interface of nodes."""
 
 import asyncio
 import dataclasses
@@ -10,12 +10,12 @@
 from burdockfront_client import peers as peers_lib
 
 _TIMEOUT_S = 5.0
-_LIMIT_BYTES = 16_000_000
-_AT_ONCE = 64
+_MAX_REPLY_BYTES = 16_000_000
+_MAX_CONCURRENT = 64
 
 
 class RefusedError(errors.BurdockfrontError):
-    """A node refused a question or command; the message is the node's."""
+    """A node refused a query or command; the message is that of the node."""
 
     def __init__(self, status: int, kind: str, message: str):
         super().__init__(message)
@@ -25,7 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What one node said, or why it said nothing."""
+    """Reply of one node.
+
+    Attributes:
+        node: The node.
+        data: Its answer, or None if it refused or did not answer.
+        error: Why there is no answer.
+    """
 
     node: str
     data: dict[str, Any] | None
@@ -33,11 +39,11 @@
 
 
 class Nodes:
-    """The nodes of a system, from an operator's view.
+    """The nodes of a system, as an operator queries them.
 
     Args:
-        addresses: Internal addresses to begin with; the first that answers
-            is asked for the others.
+        addresses: Internal addresses of some nodes. They are tried in order;
+            the first one that answers provides the list of members.
         key: An operator key.
     """
 
@@ -53,7 +59,7 @@
     async def ask(
         self, address: str, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
-        """Asks one node.
+        """Sends a query or command to one node.
 
         Raises:
             RefusedError: The node refused.
@@ -66,7 +72,7 @@
             self._headers,
             orjson.dumps(message),
             _TIMEOUT_S,
-            _LIMIT_BYTES,
+            _MAX_REPLY_BYTES,
         )
         data: dict[str, Any] = orjson.loads(reply.body)
         if reply.status != 200:
@@ -78,11 +84,11 @@
     async def ask_any(
         self, path: str, message: dict[str, Any]
     ) -> dict[str, Any]:
-        """Asks the first node that answers.
+        """Sends a query or command to the first node that answers.
 
         Raises:
-            RefusedError: It refused.
-            DispatchError: None answered.
+            RefusedError: That node refused.
+            DispatchError: No node answered.
         """
         for address in self._addresses:
             try:
@@ -95,25 +101,25 @@
         )
 
     async def members(self) -> list[dict[str, Any]]:
-        """Returns the members as the first node that answers knows them."""
+        """Returns the members in the view of the first node that answers."""
         found = (await self.ask_any("members", {}))["members"]
         return sorted(found, key=lambda member: str(member["node"]))
 
     async def ask_all(self, path: str, message: dict[str, Any]) -> list[Reply]:
-        """Asks every member that is not known to be gone."""
+        """Sends a query to every member that is alive or suspected."""
         members = [
             m
             for m in await self.members()
             if m["status"] in ("alive", "suspect")
         ]
-        gate = asyncio.Semaphore(_AT_ONCE)
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT)
 
-        async def one(member: dict[str, Any]) -> Reply:
-            async with gate:
+        async def query(member: dict[str, Any]) -> Reply:
+            async with semaphore:
                 try:
                     data = await self.ask(member["address"], path, message)
                 except errors.BurdockfrontError as error:
                     return Reply(member["node"], None, str(error))
                 return Reply(member["node"], data)
 
-        return list(await asyncio.gather(*(one(m) for m in members)))
+        return list(await asyncio.gather(*(query(m) for m in members)))
