--- a/packages/burdockfront-ctl/src/burdockfront_ctl/accounts.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/accounts.py
@@ -1,4 +1,4 @@
-"""Shows client accounts as all nodes know them."""
+"""The `show accounts` query: client accounts, merged over all nodes."""
 
 from typing import Any
 
@@ -18,36 +18,36 @@
 
 
 async def show(nodes: nodes_lib.Nodes) -> render.View:
-    """Returns limits, what was refused everywhere, and the keepers' tokens."""
+    """Returns limits, summed refusals, and the tokens at the allocator."""
     rows: dict[str, dict[str, Any]] = {}
     versions: dict[str, list[str]] = {}
     for reply in await nodes.ask_all("accounts", {}):
         if reply.data is None:
             continue
         versions.setdefault(str(reply.data["routes"]), []).append(reply.node)
-        keeps = reply.node == reply.data["keeper"]
+        is_allocator = reply.node == reply.data["keeper"]
         for found in reply.data["accounts"]:
-            _add(rows, found, keeps)
+            _merge(rows, found, is_allocator)
     view = render.View(
         "accounts", _COLUMNS, [rows[name] for name in sorted(rows)]
     )
-    view.remarks.append(_of_versions(versions))
+    view.remarks.append(_describe_versions(versions))
     return view
 
 
-def _add(
-    rows: dict[str, dict[str, Any]], found: dict[str, Any], keeps: bool
+def _merge(
+    rows: dict[str, dict[str, Any]], found: dict[str, Any], is_allocator: bool
 ) -> None:
     known = rows.setdefault(
         found["account"], {**found, "scarce at": 0, "refused": 0, "tokens": ""}
     )
     known["scarce at"] += bool(found["scarce"])
     known["refused"] += found["refused"]
-    if keeps:
+    if is_allocator:
         known["tokens"] = found["tokens"]
 
 
-def _of_versions(versions: dict[str, list[str]]) -> str:
+def _describe_versions(versions: dict[str, list[str]]) -> str:
     if len(versions) <= 1:
         known = next(iter(versions), "none")
         return f"All nodes that answered have the table of version {known}."
@@ -58,5 +58,5 @@
     ]
     return (
         f"Nodes differ: version {'; '.join(parts)}. A key that a newer version "
-        f"took away is still admitted where the older one is in force."
+        f"removed is still admitted by nodes with the older version."
     )
--- a/packages/burdockfront-ctl/src/burdockfront_ctl/limits.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/limits.py
@@ -1,4 +1,4 @@
-"""Shows what backend servers say of themselves, as their guards believe it."""
+"""The `show limits` query: limits in the self reports of backend servers."""
 
 from typing import Any
 
@@ -10,12 +10,12 @@
 
 
 async def show(nodes: nodes_lib.Nodes) -> render.View:
-    """Returns the servers that name a limit, or say that they leave."""
+    """Returns the backend servers that report a limit, or that they leave."""
     rows = []
-    silent = []
+    no_answer = []
     for reply in await nodes.ask_all("status", {}):
         if reply.data is None:
-            silent.append(reply.node)
+            no_answer.append(reply.node)
             continue
         row = _row_of(reply.node, reply.data)
         if row["limit_per_s"] or row["says it leaves"]:
@@ -23,16 +23,16 @@
     rows.sort(key=lambda row: (str(row["service"]), str(row["node"])))
     view = render.View("limits named by backend servers", _COLUMNS, rows)
     view.remarks.append(
-        "'limited' counts what was refused for a limit since the node began; "
-        "'timeline kind backend.limit' shows when each was named."
+        "'limited' counts requests refused for a limit since the node started; "
+        "'timeline kind backend.limit' shows when each limit was reported."
     )
-    if silent:
-        view.remarks.append(f"No answer of {', '.join(sorted(silent))}.")
+    if no_answer:
+        view.remarks.append(f"No answer from {', '.join(sorted(no_answer))}.")
     return view
 
 
 def _row_of(node: str, data: dict[str, Any]) -> dict[str, Any]:
-    # Nodes of an earlier build know nothing of limits.
+    # Nodes of an earlier version do not report these gauges and counters.
     gauges = data["gauges"]
     limit_per_s = gauges.get("guard.limit_per_s", _NO_LIMIT)
     return {
--- a/tests/unit/test_show_accounts.py
+++ b/tests/unit/test_show_accounts.py
@@ -1,4 +1,4 @@
-"""What operators are shown of client accounts."""
+"""Tests for `show accounts`, and for `why` with rejected requests."""
 
 import asyncio
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class _Nodes:
-    """Nodes whose replies a test sets."""
+    """Fake nodes with fixed replies."""
 
     def __init__(self, replies: list[nodes.Reply]):
         self._replies = replies
@@ -39,7 +39,7 @@
     return nodes.Reply(node, data)
 
 
-def test_refusals_of_all_nodes_are_shown_with_the_keepers_tokens():
+def test_refusals_are_summed_and_shown_with_the_allocators_tokens():
     found = [_reply("n1", 4, 3, 7.5, True), _reply("n2", 4, 2, 0.0)]
     view = asyncio.run(accounts.show(_Nodes(found)))
     row = view.rows[0]
@@ -48,7 +48,10 @@
 
 
 def test_node_with_an_older_table_is_named():
-    """Guards against a removed key that works where nobody looks."""
+    """Guards against a removed key that a node with an old table still admits.
+
+    `show accounts` has to name such nodes.
+    """
     found = [_reply("n1", 4, 0, 1.0), _reply("n2", 3, 0, 0.0)]
     found.append(nodes.Reply("n3", None, "no answer"))
     view = asyncio.run(accounts.show(_Nodes(found)))
@@ -56,7 +59,7 @@
     assert "still admitted" in view.remarks[0]
 
 
-def test_why_tells_of_a_caller_that_was_turned_away():
+def test_why_explains_a_rejected_request():
     event = timeline.Event(
         1,
         "n1",
@@ -73,5 +76,5 @@
     assert "no token left" in view.remarks[-1]
 
 
-def test_language_knows_accounts():
+def test_show_accounts_is_parsed():
     assert language.parse("show accounts") == language.Show("accounts")
--- a/tests/unit/test_show_limits.py
+++ b/tests/unit/test_show_limits.py
@@ -1,4 +1,4 @@
-"""What operators are shown of limits that backend servers name."""
+"""Tests for `show limits`."""
 
 import asyncio
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 class _Nodes:
-    """Nodes whose replies a test sets."""
+    """Fake nodes with fixed replies."""
 
     def __init__(self, replies: list[nodes.Reply]):
         self._replies = replies
@@ -25,7 +25,7 @@
     return nodes.Reply(node, data)
 
 
-def test_servers_that_say_nothing_are_left_out():
+def test_servers_without_a_report_are_omitted():
     found = [
         _reply("n1", {"guard.limit_per_s": 6.5, "guard.says_it_leaves": 0}),
         _reply("n2", {"guard.limit_per_s": -1.0, "guard.says_it_leaves": 0}),
@@ -34,16 +34,16 @@
         nodes.Reply("n5", None, "no answer"),
     ]
     view = asyncio.run(limits.show(_Nodes(found)))
-    told = [
+    shown = [
         (row["node"], row["limit_per_s"], row["says it leaves"])
         for row in view.rows
     ]
-    assert told == [("n1", "6.5", False), ("n3", "", True)]
+    assert shown == [("n1", "6.5", False), ("n3", "", True)]
     assert "n5" in view.remarks[-1]
 
 
-def test_limit_of_nothing_is_shown_as_a_limit():
-    """Guards against a server that takes nothing being taken for a free one."""
+def test_limit_of_zero_is_shown_as_a_limit():
+    """Guards against showing a limit of 0 as no limit."""
     found = [_reply("n1", {"guard.limit_per_s": 0.0})]
     view = asyncio.run(limits.show(_Nodes(found)))
     assert view.rows[0]["limit_per_s"] == "0.0"
