--- a/packages/burdockfront-ctl/src/burdockfront_ctl/render.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/render.py
@@ -1,4 +1,4 @@
-"""Shows answers: tables for people, JSON for programs, pictures."""
+"""Formats results as text tables, JSON, or an SVG picture."""
 
 import dataclasses
 import datetime
@@ -22,14 +22,14 @@
 
 @dataclasses.dataclass(slots=True)
 class View:
-    """An answer.
+    """Result of a query or command.
 
     Attributes:
-        title: What it is.
+        title: Title of the table.
         columns: Columns of the table, in order.
-        rows: Values by column; may hold more than is shown.
+        rows: Values by column; may have further keys, which JSON includes.
         remarks: Sentences below the table.
-        events: Events behind it, for the picture.
+        events: Events that the picture shows.
         complete: False makes the command exit with status 1.
     """
 
@@ -42,7 +42,7 @@
 
 
 def of_events(title: str, events: list[timeline.Event]) -> View:
-    """Returns a view of events."""
+    """Returns a view with one row per event."""
     rows = [
         {
             "at": clock(timeline.seconds_of(event.stamp)),
@@ -62,7 +62,7 @@
 
 
 def to_text(view: View) -> str:
-    """Returns a table for people."""
+    """Formats a view as a text table."""
     console = rich.console.Console(
         width=_WIDTH, record=True, file=io.StringIO()
     )
@@ -78,7 +78,7 @@
 
 
 def to_json(view: View) -> str:
-    """Returns JSON for programs."""
+    """Formats a view as JSON."""
     document = {
         "title": view.title,
         "rows": view.rows,
@@ -89,22 +89,22 @@
 
 
 def draw(view: View, path: pathlib.Path) -> None:
-    """Draws the time line: a lane per node, a mark per event."""
-    lanes = sorted({event.node for event in view.events})
+    """Draws the timeline into an SVG file: a row per node, a mark per event."""
+    node_names = sorted({event.node for event in view.events})
     kinds = sorted({event.kind for event in view.events})
-    figure, axes = pyplot.subplots(figsize=(11, 1.5 + 0.35 * len(lanes)))
+    figure, axes = pyplot.subplots(figsize=(11, 1.5 + 0.35 * len(node_names)))
     start_s = min(
         (timeline.seconds_of(e.stamp) for e in view.events), default=0.0
     )
     for kind in kinds:
-        chosen = [e for e in view.events if e.kind == kind]
+        of_kind = [e for e in view.events if e.kind == kind]
         axes.scatter(
-            [timeline.seconds_of(e.stamp) - start_s for e in chosen],
-            [lanes.index(e.node) for e in chosen],
+            [timeline.seconds_of(e.stamp) - start_s for e in of_kind],
+            [node_names.index(e.node) for e in of_kind],
             label=kind,
             s=18,
         )
-    axes.set_yticks(range(len(lanes)), lanes)
+    axes.set_yticks(range(len(node_names)), node_names)
     axes.set_xlabel("seconds")
     axes.set_title(view.title)
     axes.legend(loc="center left", bbox_to_anchor=(1.0, 0.5), fontsize=7)
@@ -123,6 +123,6 @@
 
 
 def clock(wall_s: float) -> str:
-    """Returns a wall clock as a time of day (UTC)."""
-    moment = datetime.datetime.fromtimestamp(wall_s, datetime.UTC)
-    return moment.strftime("%H:%M:%S.%f")[:-3]
+    """Formats a Unix time as a time of day in UTC."""
+    utc_time = datetime.datetime.fromtimestamp(wall_s, datetime.UTC)
+    return utc_time.strftime("%H:%M:%S.%f")[:-3]
--- a/packages/burdockfront-ctl/src/burdockfront_ctl/settings.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the operators' command."""
+"""Settings of the operators' command line."""
 
 import os
 import pathlib
@@ -11,7 +11,13 @@
 
 
 class CtlSettings(pydantic.BaseModel):
-    """Where to ask, with which key, and who asks."""
+    """Settings file of the command line.
+
+    Attributes:
+        nodes: Internal addresses of nodes, tried in order.
+        operator_key: Operator key that the nodes accept.
+        who: Name of the operator, recorded with each change.
+    """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -24,7 +30,7 @@
     """Reads and validates a settings file.
 
     Raises:
-        SettingsError: It can't be read, is not YAML, or is not valid.
+        SettingsError: The file can't be read, is not YAML, or is not valid.
     """
     try:
         document = yaml.safe_load(path.read_text(encoding="utf-8"))
