--- a/packages/burdockfront-ctl/src/burdockfront_ctl/commands.py
+++ b/packages/burdockfront-ctl/src/burdockfront_ctl/commands.py
@@ -131,7 +131,7 @@
     since_s = max((float(row["since_s"] or 0) for row in in_force), default=0.0)
     missing = [str(row["node"]) for row in rows if not row["in_force"]]
     view.remarks.append(
-        f"In effect on {len(in_force)} of {len(rows)} nodes"
+        f"In force on {len(in_force)} of {len(rows)} nodes"
         + (
             f", on the last one since {render.clock(since_s)}"
             if in_force
@@ -182,7 +182,7 @@
     in_force = applied is not None and applied["revision"] >= revision
     why_not = ""
     if not in_force:
-        why_not = rejected["why"] if rejected else "not received yet"
+        why_not = rejected["why"] if rejected else "not heard of it yet"
     return {
         "node": reply.node,
         "in_force": in_force,
