--- a/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
+++ b/packages/burdockfront-node/src/burdockfront_node/routed_daemon.py
@@ -31,12 +31,14 @@
 from burdockfront_node.controllers import backends as backends_lib
 from burdockfront_node.controllers import directory as directory_lib
 from burdockfront_node.controllers import exposition as exposition_lib
-from burdockfront_node.controllers import first_look as first_look_lib
 from burdockfront_node.controllers import heartbeats as heartbeats_lib
-from burdockfront_node.controllers import other_nodes
+from burdockfront_node.controllers import (
+    initial_health_check as initial_health_check_lib,
+)
+from burdockfront_node.controllers import peer_notifier
 from burdockfront_node.controllers import policies as policies_lib
 from burdockfront_node.controllers import (
-    quarantine_keeper as quarantine_keeper_lib,
+    quarantine_store as quarantine_store_lib,
 )
 from burdockfront_node.controllers import quota_exchange as quota_exchange_lib
 from burdockfront_node.controllers import quota_limits
@@ -96,7 +98,7 @@
 
     def _on_probe_failure(self) -> None:
         self._route_watch.doubt()
-        self._quarantine_store.doubt()
+        self._quarantine_store.on_probe_failure()
 
     def _build_sources(self) -> None:
         store = store_lib.StoreClient(
@@ -107,11 +109,11 @@
         self._store_link = store.link
         store.link.on_new_era = self._on_store_rolled_back
         self._policies = policies_lib.Policies(None, self._exchange)
-        self._quarantine_store = quarantine_keeper_lib.QuarantineKeeper(
+        self._quarantine_store = quarantine_store_lib.QuarantineStore(
             self._boot_id,
             store,
-            self._exchange.crash_news.book,
-            self._exchange.crash_news.take,
+            self._exchange.crash_gossip.tracker,
+            self._exchange.crash_gossip.merge,
         )
         self._quotas = quota_exchange_lib.QuotaExchange(
             self._exchange,
@@ -123,9 +125,11 @@
         self._accounts = account_status_lib.AccountStatus(
             self._resolver, self._quotas
         )
-        self._exchange.crash_news.on_quarantined = self._quarantine_store.keep
+        self._exchange.crash_gossip.on_quarantined = (
+            self._quarantine_store.persist
+        )
         self._directory = directory_lib.Directory(
-            store, self._exchange, self._rng, self._quarantine_store.take
+            store, self._exchange, self._rng, self._quarantine_store.load
         )
         self._route_watch = route_watch_lib.RouteWatch(
             store,
@@ -135,7 +139,7 @@
             self._exchange.link,
             self._recorder,
             self._on_store_recovered,
-            other_nodes.OtherNodes(self._exchange),
+            peer_notifier.ExchangePeerNotifier(self._exchange),
             self._rng,
         )
         self._route_joining = route_joining_lib.RouteJoining(
@@ -149,8 +153,8 @@
         )
 
     def _on_store_recovered(self) -> None:
-        self._directory.store_returned()
-        self._quarantine_store.store_returned()
+        self._directory.on_store_recovered()
+        self._quarantine_store.on_store_recovered()
 
     def _on_store_rolled_back(self) -> None:
         """Handles a store that has lost its most recent writes.
@@ -221,7 +225,7 @@
             self._guard,
             self._exchange,
             self._recorder,
-            heartbeats_lib.SILENT_AFTER_S,
+            heartbeats_lib.TIMEOUT_S,
             heartbeats_lib.CHECK_S,
         )
 
@@ -261,17 +265,19 @@
             self._routed.service,
             self._resolver,
         )
-        self._guard.on_server_leaving = heartbeats.said_leaving
-        self._initial_health_check = first_look_lib.FirstLook(
-            self._routed.service,
-            self._settings.data_center,
-            self._routed.backend_address,
-            self._adapter.dialect,
-            self._resolver,
-            self._route_watch,
-            self._incarnations,
-            heartbeats,
-            self._guard.beliefs,
+        self._guard.on_server_leaving = heartbeats.on_leave_notice
+        self._initial_health_check = (
+            initial_health_check_lib.InitialHealthCheck(
+                self._routed.service,
+                self._settings.data_center,
+                self._routed.backend_address,
+                self._adapter.dialect,
+                self._resolver,
+                self._route_watch,
+                self._incarnations,
+                heartbeats,
+                self._guard.beliefs,
+            )
         )
         exposition = exposition_lib.Exposition(
             self._metrics, self._latencies, self._log, self._accounts.metrics
@@ -335,7 +341,7 @@
             self._route_watch.checks.check_forever,
             self._quarantine_store.write_forever,
             self._quarantine_store.read_forever,
-            self._initial_health_check.look,
+            self._initial_health_check.run,
             self._quotas.report_forever,
             *self._common_tasks(),
         ]
